--- a/benchmarks/scaling/brain_turn.py
+++ b/benchmarks/scaling/brain_turn.py
@@ -115,7 +115,9 @@
         begun, turns = time.process_time(), play.turns
         watch.runcall(play.run, seconds) if watch else play.run(seconds)
         spent, turns = time.process_time() - begun, play.turns - turns
-        click.echo(f"a turn: {spent / turns * 1e3:.3f} ms; {turns} turns; {len(play.brain.mine)} own tasks")
+        click.echo(
+            f"a turn: {spent / turns * 1e3:.3f} ms; {turns} turns; {len(play.brain.own_tasks)} own tasks"
+        )
         click.echo(f"a core's part at {turns / seconds:.1f} turns a second: {spent / seconds:.3f}")
     if rows:
         pstats.Stats(watch).sort_stats("tottime").print_stats(rows)
--- a/benchmarks/scaling/counted_assigner.py
+++ b/benchmarks/scaling/counted_assigner.py
@@ -83,8 +83,8 @@
 
     def write(self, brain):
         """Keeps the counts of this turn."""
-        lines = sum(len(table.laid) for table in brain.tables)
-        state = len(brain.lines), len(brain.tasks), len(brain.mine), len(brain.proxies), lines
+        lines = sum(len(table.weights) for table in brain.tables)
+        state = len(brain.lines), len(brain.tasks), len(brain.own_tasks), len(brain.proxies), lines
         LAYOUT.pack_into(self.memory, 0, self.turns, self.events, self.orders, self.beats, self.cpu, *state)
 
 
--- a/benchmarks/turn.py
+++ b/benchmarks/turn.py
@@ -82,7 +82,7 @@
         self.coming = [(at, event) for at, event in self.coming if at > self.now]
         events = [event for event in due if not isinstance(event, int)]
         if marks := [event for event in due if isinstance(event, int)]:
-            waits = [p for p, proxy in self.brain.behind.items() if proxy.unanswered]
+            waits = [p for p, proxy in self.brain.channel_proxies.items() if proxy.unacknowledged]
             events += [gp.Applied(p, marks[-1], 3_000) for p in waits]
         for _ in range(INTAKE * BEAT // 10_000):
             self.at = (self.at + 1) % (3 * len(self.names))
--- a/garnetpaddle/advice/leases.py
+++ b/garnetpaddle/advice/leases.py
@@ -6,7 +6,8 @@
 from garnetpaddle import interface as gp
 
 FIRST_FOLLOWER_NUMBER = 65_536  # followers' numbers as proxies start here: the platform's are below
-RESTART_PERIOD = 60_000  # 6 s: who joins so soon after our start may hold former advice; see Brain.HEIR
+# 6 s: who joins so soon after our start may hold former advice; see brain.INHERITED_TABLES_TENTHS_MS
+RESTART_PERIOD = 60_000
 LEASE_TIMEOUT = 30_000  # 3 s: another connection may take over the lease of one not heard for so long
 MIN_BLOCK, MAX_BLOCK = 10_000, 600_000  # 1 s, doubled up to a minute: how long a failed follower is refused
 MAX_FAILURES = 16  # counted in a row
--- a/garnetpaddle/brain.py
+++ b/garnetpaddle/brain.py
@@ -11,622 +11,825 @@
 import statistics
 
 from garnetpaddle import interface as gp
-from garnetpaddle.state import Proxy, Table, Task, Wait
+from garnetpaddle.state import Proxy, PushAcknowledgements, Table, Task
 from garnetpaddle.task_registry import TaskRegistry
 
 SECOND = 10_000  # tenths of a ms
-HEIR = 60_000  # 6 s: how long proxies keep tables ordered before this start, better ones than even shares
-STILL = 30_000  # 3 s without an answer to a mark, more than a stall: then time alone empties the queue
-BEAT = 1_000  # 0.1 s: well under every delay it has to notice
-BETA = 0.4  # weight of the latest reading: steps are seconds apart, and one reading is noisy
-STEP_UP, STEP_DOWN = 2.0, 3.0  # most a share grows or shrinks in a step: an overload must be left quickly
-FLOOR = 0.2  # of the average share: enough calls to keep hearing of a task
-RATE = 0.7  # power of the answer rate in the headroom: between equal latency (0) and equal calls in hand (1)
-FEW = 10.0  # answers: a reading of so few counts half, the average the other half
-ENOUGH = (3, 8)  # answers a task on average before a step: the first, when kinds tell more; the others
-FAILED = SECOND  # a failed answer counts as 1 s of latency
-SETTLE = 1_500  # 0.15 s: the lines of one report may come over several batches
-COLD_PART = 0.6  # of what a cold task bears: the rest is for bursts and weak machines
-COLD_ALONE = COLD_PART  # of the fleet's work: alone they get all calls, at full use what they bear
-LEAST_WEIGHT = 0.005  # of the average: less is left out, a line of weight 0 being no line
-COLD_CALM = 0.6  # least calm for a cold line: however light, it gets all that proxies keep from others
-POOLED = 4.0  # s of the channel: binding all who are joined may take as long, or tables are smaller
-LINES = 8  # least of a smaller table: with fewer, whoever holds a bad task calls little else
-BARE = 2  # warm lines: a table with fewer gets up to half of the strongest one's at once, others in time
-THIN = 20  # s: a proxy that takes longer for the failures that make it avoid a task avoids few
-COLD_WAIT = 2.5  # report periods: a task just started can do little, and a jam would not yet be known of
-MOVED = 0.1  # a weight that moved by less is not sent
-PACE = (0, 3_000, 10_000)  # least time between pushes of rule, health, weights: none holds up another
-ROOM, JOINS = (0.97, 0.5, 0.5), (0.6, 0.8)  # of the queue limit: most after such a push; joins, late ones
-IN_TIME, REPEAT = 0.9, 0.4  # of the grace: binds that end by then need no shut-out; until one is repeated
-HELD = 600_000  # 60 s: how long a proxy out of reach may hold the line of a task that left
-START, MOST, BINDS = (math.inf, 1.5, 0.75), 5.0, 1.5  # s of the channel: pushes start below; most then; binds
-CAPPED = (0.95, 0.6, 0.4)  # most of the message cap that may be in use likewise
-SURE = 5.3  # ln 200: odds at which a task is held bad, one false alarm in 200 tests
-TRUST = 2.0  # most evidence a good past may save up against new failures
-UNLISTED = 3.0  # evidence in a list that drops a task without a drain: two failures then do
-BAD = 0.5  # share of failures of a bad task; more where many calls fail everywhere, as in an overload
-FULL, TIGHT = 0.8, 0.88  # share of busy cores: beyond it waits grow without end; no calm is left for outs
-LATE = 0.6  # of the SLO time: a mean answer time at which many answers come late
-LET_IN_DOWN, LET_IN_UP = 0.4, 1.4  # most that admission moves at once: out of a jam quickly, and not back
-PILED = 3.0  # times the usual calls in hand: more than swings of traffic bring, and told before late sums
-JAMMED = 1.3  # times the pressure while answers come late: what waits has to be worked off too
-NO_TRIES = 0.1  # share of failures at the median task from which nothing is tried again
-OPEN = {"per_second": 1e6}  # a level that lets all in: calls a second at a proxy; else a share, 1
-LEAST = 0.05  # least level of a route: enough calls to keep hearing of it
-OUT_MOST = 0.3  # of all shares, while the rest answers: it must be able to carry the load
-ABSENT, LOST_MOST = "unreachable", 0.5  # nothing listens there; of the tasks: more is a fault of the network
-HOLD, HOLD_MOST, HEARD = 3, 24, 3  # periods: out at first, doubled up to; rounds of reports that still tell
-PROBE_WAIT = 0.5  # of the shortest SLO time: a task that takes as long for a probe answers calls late
-PROBE_EVERY, PROBE_SOON = 10_000, 4_000  # 1 s between probes of a task, 0.4 s where one is in doubt
-TRIAL = 0.25  # of the average: most that a task carries from its return until the test clears it
-MANY = 0.25  # of the tasks: more than one trouble strikes, so failing together is overload
-BACKOFF = 3_000  # 0.3 s: first wait before subscribing again, doubled and spread
+
+# Timers
+TICK_TENTHS_MS = 1_000  # 0.1 s: well below every delay that has to be noticed
+RESUBSCRIBE_BACKOFF_TENTHS_MS = 3_000  # 0.3 s: first wait before subscribing again, doubled and randomised
+# 3 s without an acknowledgement, longer than a stall: from then on the queue shrinks by time alone.
+CHANNEL_SILENCE_TENTHS_MS = 30_000
+DEPARTED_LINE_TENTHS_MS = 600_000  # 60 s: how long an unreachable proxy may hold the line of a task that left
+# 6 s: how long proxies keep tables ordered before this start, which fit better than even shares
+INHERITED_TABLES_TENTHS_MS = 60_000
+
+# Shares: the part of the calls that each task gets, adjusted step by step to its answers
+SMOOTHING_FACTOR = 0.4  # weight of the latest reading: readings are seconds apart and noisy
+MAX_SHARE_INCREASE_RATIO, MAX_SHARE_DECREASE_RATIO = 2.0, 3.0  # per step: an overload must be left quickly
+MIN_SHARE_RATIO = 0.2  # of the average share: enough calls to go on observing a task
+SHARE_EXPONENT = 0.7  # in the headroom: 0 aims at equal latency, 1 at equal calls in flight
+PRIOR_ANSWERS = 10.0  # a reading of so few answers counts half, the average the other half
+# Answers per task on average before a step: the first, when machine kinds tell more; the later ones
+MIN_ANSWERS_PER_TASK = (3, 8)
+FAILURE_LATENCY_TENTHS_MS = SECOND  # a failed answer counts as 1 s of latency
+REPORT_COLLECTION_TENTHS_MS = 1_500  # 0.15 s: the lines of one report may arrive in several batches
+
+# Cold tasks, those that are still warming up
+COLD_CAPACITY_SHARE = 0.6  # of what a cold task can take: the rest is for bursts and weak machines
+# Of the fleet's work: cold tasks alone get all calls, and from here on that is no more than they can take.
+COLD_ONLY_CAPACITY_SHARE = COLD_CAPACITY_SHARE
+# Below it cold tasks get no line: however light, it would get all calls that proxies keep from other tasks.
+MIN_HEALTH_FOR_COLD = 0.6
+# Report periods without a line: a task that has just started can take little, and a jam would not show yet.
+COLD_START_DELAY_PERIODS = 2.5
+
+# Tables
+MIN_WEIGHT_RATIO = 0.005  # of the average: a smaller weight is left out, as a line of weight 0 is no line
+MIN_WEIGHT_CHANGE_RATIO = 0.1  # a smaller change of a weight is not sent
+MAX_BIND_ALL_S = 4.0  # s of the channel that binding all joined proxies may take; else tables are smaller
+MIN_TABLE_LINES = 8  # of a smaller table: with fewer, proxies with a bad task in it call little else
+# A table with fewer warm lines gets up to half of those of the best equipped table at once, others over time.
+MIN_WARM_LINES = 2
+# A proxy that takes longer to meet the failures in a row that make it avoid a task avoids few tasks.
+SLOW_AVOIDANCE_S = 20
+
+# Pushes of changed lines, in tuples by urgency: drains and other rules, health, weights
+PUSH_INTERVALS_TENTHS_MS = (0, 3_000, 10_000)  # separate, so that no urgency delays another
+# Of the queue limit: most in use after such a push; after a bind, and after one of a proxy that waited long
+PUSH_QUEUE_SHARES, BIND_QUEUE_SHARES = (0.97, 0.5, 0.5), (0.6, 0.8)
+# s of the channel: such a push starts while less is queued; most after one of health or weights; after a bind
+PUSH_START_QUEUE_S, PUSH_MAX_QUEUE_S, BIND_MAX_QUEUE_S = (math.inf, 1.5, 0.75), 5.0, 1.5
+MESSAGE_CAP_SHARES = (0.95, 0.6, 0.4)  # of the message cap: most in use after such a push
+# Of the grace: binds that end by the first need no withdrawals. A proxy that has waited for longer than the
+# second is late, and withdrawals ordered before it joined are repeated for it.
+BIND_DEADLINE_GRACE_SHARE, LATE_BIND_GRACE_SHARE = 0.9, 0.4
+
+# Ejection of faulty tasks and their readmission
+EJECTION_EVIDENCE = 5.3  # ln 200: the odds at which a task is taken for faulty, one false alarm in 200 tests
+MAX_GOOD_EVIDENCE = 2.0  # most evidence that good answers may build up against new failures
+UNLISTED_EVIDENCE = 3.0  # for a list that drops a task without a drain: two failures then suffice
+FAULTY_FAILURE_SHARE = 0.5  # of a faulty task's calls; more where many fail everywhere, as in an overload
+MAX_EJECTED_SHARE = 0.3  # of all shares, while the other tasks answer: they must be able to carry the load
+# The probe outcome where nothing listens; of the tasks: more that are unreachable are a network fault
+UNREACHABLE, MAX_UNREACHABLE_SHARE = "unreachable", 0.5
+# Report periods of the first ejection, doubled up to the second; rounds of reports for which one is valid
+MIN_EJECTION_PERIODS, MAX_EJECTION_PERIODS, REPORT_VALID_ROUNDS = 3, 24, 3
+PROBE_TIMEOUT_SLO_RATIO = 0.5  # of the shortest SLO time: a task that takes as long answers calls late
+PROBE_INTERVAL_TENTHS_MS, SUSPECT_PROBE_INTERVAL_TENTHS_MS = 10_000, 4_000  # 1 s; 0.4 s for a suspected task
+PROBATION_SHARE_RATIO = 0.25  # of the average: most that a readmitted task carries until the test clears it
+SINGLE_FAULT_SHARE = 0.25  # of the tasks: one fault strikes fewer, so more that fail together mean overload
+
+# Overload, admission and retries
+# Of the cores: above the first waits grow without bound; above the second, ejections cease by and by.
+TARGET_BUSY_SHARE, OVERLOAD_BUSY_SHARE = 0.8, 0.88
+LATE_SLO_RATIO = 0.6  # of the SLO time: a mean latency at which many answers are late
+# Most by which admission changes in a step: out of an overload quickly, and not back into it
+MAX_ADMISSION_DECREASE_RATIO, MAX_ADMISSION_INCREASE_RATIO = 0.4, 1.4
+BACKLOG_RATIO = 3.0  # of the usual calls in flight: more than traffic swings cause, and seen before late sums
+LATE_PRESSURE_RATIO = 1.3  # on the pressure while answers are late: the backlog has to be worked off too
+NO_RETRY_FAILURE_SHARE = 0.1  # failures that the median call meets: from here on nothing is tried again
+# The level that admits everything: calls a second at a proxy; for other kinds of level a share, 1
+OPEN_LEVELS = {"per_second": 1e6}
+MIN_ROUTE_LEVEL = 0.05  # enough calls to go on observing the route
 
 
 class Brain:
+    """Turns batches of events into orders. All times are whole tenths of a millisecond."""
+
     def __init__(self, terms, seed):
-        self.terms, self.probe_wait = terms, int(PROBE_WAIT * min(r.slo_time for r in terms.routes))
-        self.uniform, self.open = random.Random(seed).uniform, OPEN.get(terms.level_kind, 1.0)
-        self.registry = known = TaskRegistry()
-        self.tasks, self.lines, self.left_at = known.tasks, known.lines, known.changed_at
-        self.ready, self.observed, self.leaving = known.ready, known.observed, known.leaving
-        self.proxies, self.order = {}, (None, [])  # order: the ready tasks, as parts are cut from them
-        self.behind, self.calls, self.waiting = {}, 0.0, {}  # the channel; their calls; not surely bound
-        self.tables, self.withdrawn = [self.new_table(1)], {}  # when what is shut out was, False in doubt
-        self.notes, self.pending, self.covered = [], [], {}
-        self.due, self.serial = [(0, 0, Brain.watch, None)] * (terms.list_mode == "ask"), 0
-        # The queue is reckoned by what is not answered yet and, where none was lost, by the messages' order.
-        self.queue, self.unanswered, self.written, self.sent, self.least = 0.0, 0.0, 0.0, {}, 0.0
-        # When the last push of each took effect (0: not yet); whose answers it waits for, by their calls.
-        self.mark, self.effect, self.awaited = 0, {"weights": 0, "levels": 0}, {}
-        self.queue_at = self.in_order_from = self.dealt_at = 0  # dealt: last move between tables
-        self.beat_at = self.watch_fails = self.sums_at = self.since = self.late = self.moved_at = 0
-        self.let_in, self.held, self.usual, self.levels, self.calls_heard = 1.0, 1.0, 0.0, {}, {}
-        self.size, self.cut, self.round = 0.0, False, terms.report_period  # mean listed size; no more tries
-        self.fleet, self.mine, self.own, self.width = 1, [], frozenset(), 0.0  # most ready; its part
+        self.terms, self.probe_timeout = (
+            terms, int(PROBE_TIMEOUT_SLO_RATIO * min(r.slo_time for r in terms.routes)))
+        self.uniform, self.open_level = random.Random(seed).uniform, OPEN_LEVELS.get(terms.level_kind, 1.0)
+        self.registry = registry = TaskRegistry()
+        self.tasks, self.lines, self.changed_at = registry.tasks, registry.lines, registry.changed_at
+        self.ready, self.observed, self.leaving = registry.ready, registry.observed, registry.leaving
+        # task_order: the ready tasks, and the same in the order from which this assigner's part is cut
+        self.proxies, self.task_order = {}, (None, [])
+        # The proxies behind the channel, their call rate, and all proxies not known for certain to be bound
+        self.channel_proxies, self.call_rate, self.unbound_proxies = {}, 0.0, {}
+        # withdrawn: task -> when its withdrawal was ordered, False where that order is in doubt
+        self.tables, self.withdrawn = [self.new_table(1)], {}
+        # counted_until: (task, zone) -> the end of the time that its sums have covered
+        self.notes, self.pending_sums, self.counted_until = [], [], {}
+        self.timers, self.timer_serial = [(0, 0, Brain.subscribe, None)] * (terms.list_mode == "ask"), 0
+        # queue: lines in the channel, estimated from what is unacknowledged and, while no stream has broken,
+        # from the order of messages. sent_batches: mark -> [lines known to have left the channel when a proxy
+        # acknowledges it, lines of its shortest message, lines written up to its end].
+        self.queue, self.unacknowledged, self.written_lines, self.sent_batches, self.shortest_message = (
+            0.0, 0.0, 0.0, {}, 0.0)
+        # When the last push of each kind took effect (0: not yet), and the acknowledgements that it waits for
+        self.mark, self.effective_at, self.awaited = 0, {"weights": 0, "levels": 0}, {}
+        self.queue_updated_at = self.in_order_from = self.rebalanced_at = 0
+        self.next_tick_at = self.subscribe_failures = self.sums_at = self.first_join_at = (
+            self.report_delay) = self.queue_moved_at = 0
+        (self.admitted_share, self.usual_in_flight, self.usual_failure_share,
+         self.route_levels, self.route_calls) = 1.0, 1.0, 0.0, {}, {}
+        self.mean_size, self.retries_stopped, self.report_round = 0.0, False, terms.report_period
+        # The most tasks that were ever ready; this assigner's part of the ready tasks
+        self.fleet_size, self.own_tasks, self.own_ids, self.part_size = 1, [], frozenset(), 0.0
 
     def handle(self, now, events):
+        """Takes a batch of events and returns the orders that follow from it."""
         orders = []
         for event in events:
-            self.READ[type(event)](self, now, event)
-        while self.due and self.due[0][0] <= now:
-            _, _, act, subject = heapq.heappop(self.due)
-            act(self, now, subject, orders)
-        if self.pending and now - self.sums_at >= SETTLE:
-            self.gather(now)
-        self.judge(now, self.observed())
+            self.HANDLERS[type(event)](self, now, event)
+        while self.timers and self.timers[0][0] <= now:
+            _, _, action, subject = heapq.heappop(self.timers)
+            action(self, now, subject, orders)
+        if self.pending_sums and now - self.sums_at >= REPORT_COLLECTION_TENTHS_MS:
+            self.evaluate_sums(now)
+        self.eject_and_readmit(now, self.observed())
         self.emit(now, orders)
         orders += [gp.Note(self.notes.pop(0)) for _ in self.notes[:]]
-        if self.beat_at <= now:
-            self.beat_at = now + BEAT
-            self.forget_gone(now, orders)
-            orders.append(gp.Timer(self.beat_at, "beat"))
+        if self.next_tick_at <= now:
+            self.next_tick_at = now + TICK_TENTHS_MS
+            self.remove_departed(now, orders)
+            orders.append(gp.Timer(self.next_tick_at, "beat"))
         return orders
 
-    def later(self, at, act, subject=None):
-        self.serial += 1
-        heapq.heappush(self.due, (at, self.serial, act, subject))
+    def schedule(self, at, action, subject=None):
+        self.timer_serial += 1
+        heapq.heappush(self.timers, (at, self.timer_serial, action, subject))
 
-    def heard_list(self, now, event):
+    def on_task_list(self, now, event):
         if event.form == "lost":
-            wait = BACKOFF * 2 ** min(self.watch_fails, 5) * self.uniform(0.7, 1.3)  # not all at one time
-            self.watch_fails += 1
-            return self.later(now + int(min(wait, self.terms.must_ask_in / 2)), Brain.watch)
-        self.watch_fails *= event.form == "stale"
+            # The backoff is randomised so that not all assigners subscribe at once.
+            wait = (
+                RESUBSCRIBE_BACKOFF_TENTHS_MS * 2 ** min(self.subscribe_failures, 5) * self.uniform(0.7, 1.3))
+            self.subscribe_failures += 1
+            return self.schedule(now + int(min(wait, self.terms.must_ask_in / 2)), Brain.subscribe)
+        self.subscribe_failures *= event.form == "stale"
         named = frozenset(line.task for line in event.lines)
         unnamed = [x for k, x in self.lines.items() if event.form != "changes" and k not in named]
         gone = [dataclasses.replace(x, state="gone", started_at=0) for x in unnamed if x.state != "gone"]
-        self.size = self.size or statistics.fmean([x.size for x in event.lines if x.state == "ready"] or [0])
-        shares = self.registry.shares()  # by kind: a new task starts at the mean of its own
+        self.mean_size = self.mean_size or statistics.fmean(
+            [x.size for x in event.lines if x.state == "ready"] or [0]
+        )
+        shares = self.registry.shares()  # a new task starts at the mean share of its kind
         for line in (*gone, *event.lines):
-            self.take_line(now, line, shares)
+            self.on_task_line(now, line, shares)
 
-    def take_line(self, now, line, shares):
+    def on_task_line(self, now, line, shares):
+        """Applies a line of the list. A task dropped during a drain stays draining. Where being dropped does
+        not bind, it only counts as evidence against a ready task."""
         known, task = self.lines.get(line.task), self.tasks.get(line.task)
         state = known.state if known else "gone"
         if line.state == "gone" and (state == "draining" or state == "ready" and not self.terms.gone_binds):
             if state == "ready":
-                task.doubt = max(task.doubt, UNLISTED)
-                self.registry.drop(now, line.task)
+                task.fault_evidence = max(task.fault_evidence, UNLISTED_EVIDENCE)
+                self.registry.mark_unlisted(now, line.task)
             return
         if line.state == "ready":
             if state == "ready" and line.started_at <= known.started_at:
                 task.unlisted = False
             else:
-                share = statistics.fmean(shares.get(line.kind) or [line.size / self.size])
+                share = statistics.fmean(shares.get(line.kind) or [line.size / self.mean_size])
                 self.registry.register(Task(line, share, self.terms.warm_after))
-                for table in self.tables:  # the line of its former life goes as a drain, whatever its weight
-                    table.laid |= {line.task: math.inf} if line.task in table.laid else {}
-        self.registry.put(now, line)
+                for table in self.tables:  # a restarted task's old line goes as urgently as in a drain
+                    table.weights |= {line.task: math.inf} if line.task in table.weights else {}
+        self.registry.update_line(now, line)
 
-    def forget_gone(self, now, orders):  # left so long ago that no proxy can hold its line any more
+    def remove_departed(self, now, orders):
+        """Forgets tasks that left so long ago that no proxy can hold their lines any more."""
         for k in list(self.leaving):
-            gone = self.lines[k].state != "ready" or self.tasks[k].unlisted and self.tasks[k].out
-            if gone and now - self.left_at[k] >= HELD and not any(k in t.laid for t in self.tables):
+            gone = self.lines[k].state != "ready" or self.tasks[k].unlisted and self.tasks[k].ejected
+            if gone and now - self.changed_at[k] >= DEPARTED_LINE_TENTHS_MS and not any(
+                    k in t.weights for t in self.tables):
                 orders += [gp.Withdraw(k, False)] * (self.withdrawn.pop(k, None) is not None)
-                self.registry.forget(k)
+                self.registry.remove(k)
 
-    def watch(self, now, _, orders):
+    def subscribe(self, now, _, orders):
         orders.append(gp.Watch())
 
-    def heard_join(self, now, event):
-        if not (self.proxies if event.aside else self.behind):
-            self.since, self.covered, self.pending = now, {}, []
-            self.effect, self.awaited = {"weights": now, "levels": now}, {}  # chance tables are even ones
-        proxy = Proxy(now, event, self.drop(event.proxy))
-        self.proxies[event.proxy] = self.waiting[event.proxy] = proxy
+    def on_proxy_joined(self, now, event):
+        if not (self.proxies if event.aside else self.channel_proxies):
+            # The first to join. Whatever tables the proxies hold by chance count as even ones, in effect now.
+            self.first_join_at, self.counted_until, self.pending_sums = now, {}, []
+            self.effective_at, self.awaited = {"weights": now, "levels": now}, {}
+        proxy = Proxy(now, event, self.remove_proxy(event.proxy))
+        self.proxies[event.proxy] = self.unbound_proxies[event.proxy] = proxy
         if not event.aside:
-            self.behind[event.proxy], self.calls = proxy, self.calls + proxy.rate
+            self.channel_proxies[event.proxy], self.call_rate = proxy, self.call_rate + proxy.rate
 
-    def heard_leave(self, now, event):
-        # Its lines vanish, later messages overtake: until the channel may have emptied, order proves nothing.
-        if (lost := self.drop(event.proxy)) and lost.waits():
+    def on_proxy_left(self, now, event):
+        """A broken stream takes its lines out of the channel, and later messages overtake earlier ones: until
+        the channel may have emptied, an acknowledgement proves nothing about the messages before it."""
+        if (lost := self.remove_proxy(event.proxy)) and lost.unacknowledged_lines():
             self.in_order_from = now + int(2 * SECOND * self.terms.queue_limit / self.terms.channel_lines)
-            self.answered(now, lost, self.mark)
-            self.queue = self.unanswered  # and it broke before that was heard: nor do the last answers
-        self.settle(now, event.proxy, self.mark)
+            self.acknowledge(now, lost, self.mark)
+            # The stream broke before this event, so the latest acknowledgements prove nothing either.
+            self.queue = self.unacknowledged
+        self.update_effective(now, event.proxy, self.mark)
 
-    def drop(self, number):
-        proxy, _ = self.proxies.pop(number, None), self.waiting.pop(number, None)
+    def remove_proxy(self, number):
+        proxy, _ = self.proxies.pop(number, None), self.unbound_proxies.pop(number, None)
         if proxy:
             proxy.bind(False, None)
-        if self.behind.pop(number, None):
-            self.calls = self.calls - proxy.rate if self.behind else 0.0
+        if self.channel_proxies.pop(number, None):
+            self.call_rate = self.call_rate - proxy.rate if self.channel_proxies else 0.0
         return proxy
 
     def bind(self, proxy, bound, table):
+        """Binds a proxy as in Proxy.bind; it stays among the unbound unless that is certain."""
         proxy.bind(bound, table)
-        self.waiting.pop(proxy.id, None)
-        self.waiting |= {} if bound else {proxy.id: proxy}
-
-    def heard_applied(self, now, event):
-        if event.proxy in self.behind:
-            self.answered(now, self.behind[event.proxy], event.mark)
-            if event.mark in self.sent:
-                # Messages leave in order: what was written before this one has left the channel.
-                reply = self.sent[event.mark]
-                reply[0] += reply[1]
+        self.unbound_proxies.pop(proxy.id, None)
+        self.unbound_proxies |= {} if bound else {proxy.id: proxy}
+
+    def on_applied(self, now, event):
+        if event.proxy in self.channel_proxies:
+            self.acknowledge(now, self.channel_proxies[event.proxy], event.mark)
+            if event.mark in self.sent_batches:
+                # Messages leave in order: all that was written before this one has left the channel.
+                batch = self.sent_batches[event.mark]
+                batch[0] += batch[1]
                 if now >= self.in_order_from:
-                    self.queue = max(0.0, min(self.queue, self.written - reply[0]))
-            while self.sent and next(iter(self.sent.values()))[2] <= self.written - self.queue:
-                del self.sent[next(iter(self.sent))]  # all of it has left
-        self.settle(now, event.proxy, event.mark)
-
-    def answered(self, now, proxy, upto):
-        self.unanswered, self.moved_at = max(0.0, self.unanswered - proxy.answered(upto)), now
-        self.queue = min(self.queue, self.unanswered)
-
-    def heard_lost(self, now, event):
-        """Orders that nothing confirmed are neither done nor undone: what still differs goes out anew."""
+                    self.queue = max(0.0, min(self.queue, self.written_lines - batch[0]))
+            while self.sent_batches and (
+                    next(iter(self.sent_batches.values()))[2] <= self.written_lines - self.queue):
+                del self.sent_batches[next(iter(self.sent_batches))]  # it has left the channel as a whole
+        self.update_effective(now, event.proxy, event.mark)
+
+    def acknowledge(self, now, proxy, mark):
+        """Takes what a proxy has confirmed, all its messages up to a mark, off the queue's upper bound."""
+        self.unacknowledged, self.queue_moved_at = (
+            max(0.0, self.unacknowledged - proxy.acknowledge(mark)), now)
+        self.queue = min(self.queue, self.unacknowledged)
+
+    def on_orders_lost(self, now, event):
+        """Marks unconfirmed orders as neither done nor undone: what still differs is ordered again."""
         tables = {table.number: table for table in self.tables}
         for order in event.orders:
             match order:
                 case gp.SetLine(table=number, task=k) if number in tables:
-                    tables[number].laid[k] = 0.0
+                    tables[number].weights[k] = 0.0
                 case gp.Withdraw(task=k) if k in self.lines:
                     self.withdrawn[k] = False
                 case gp.Bind(proxy=p, table=number) if p in self.proxies:
-                    perhaps = None if event.perhaps and number in tables else False
-                    self.bind(self.proxies[p], perhaps, tables.get(number))
+                    bound = None if event.perhaps and number in tables else False
+                    self.bind(self.proxies[p], bound, tables.get(number))
                 case gp.Admit(table=number) if number in tables:
-                    tables[number].admitted = {}
+                    tables[number].levels = {}
                 case gp.Seal(mark=mark) if not event.perhaps:
-                    self.sent.pop(mark, None)
-                    unsent = sum(p.unanswered.pop(mark, 0.0) for p in self.behind.values())
-                    self.queue, self.unanswered = max(0.0, self.queue - unsent), self.unanswered - unsent
-
-    def heard_doubt(self, now, event):
-        self.tables = [self.new_table(self.tables[-1].number % 60_000 + 1)]  # laying that reaches nobody
+                    self.sent_batches.pop(mark, None)
+                    unsent = sum(p.unacknowledged.pop(mark, 0.0) for p in self.channel_proxies.values())
+                    self.queue, self.unacknowledged = (
+                        max(0.0, self.queue - unsent), self.unacknowledged - unsent)
+
+    def on_orders_in_doubt(self, now, event):
+        """Starts a new table that nobody is bound to, as all earlier orders may be lost."""
+        self.tables = [self.new_table(self.tables[-1].number % 60_000 + 1)]
         self.withdrawn = dict.fromkeys(self.withdrawn, False)
         for proxy in self.proxies.values():
             self.bind(proxy, False, None)
-        self.waiting = {k: p for k, p in self.waiting.items() if p.aside}  # the rest once they are named anew
-
-    def new_table(self, number):  # what stands in it unordered: all is let in, tried again as the terms say
-        return Table(number, {k: (self.open, self.terms.tries) for k in range(len(self.terms.routes))})
-
-    def settle(self, now, proxy, upto):  # a push has taken effect once all but a tenth of calls go by it
-        for what, wait in list(self.awaited.items()):
-            wait.heard(proxy, upto)
-            if wait.all_told and wait.calls <= 0.1 * self.calls:
-                self.effect[what], _ = now, self.awaited.pop(what)
-
-    def heard_sums(self, now, event):
-        if event.task in self.tasks and event.span <= now - self.since + self.terms.report_period:
-            self.sums_at = self.sums_at if self.pending else now
-            self.pending.append(event)
-
-    def counted_until(self, now):  # a pair's spans add up, but for idle spells and lost sums: by the median
-        base = self.covered or {(e.task, e.zone): self.since for e in self.pending}
-        ends = [base[e.task, e.zone] + e.span for e in self.pending if (e.task, e.zone) in base]
-        until = min(int(statistics.median(ends)) if ends else now - self.late, now)
-        kept = {pair: at for pair, at in self.covered.items() if pair[0] in self.tasks}
-        self.late, self.covered = now - until, kept | {(e.task, e.zone): until for e in self.pending}
+        # Proxies behind the channel wait for a bind again once the new event stream has named them.
+        self.unbound_proxies = {k: p for k, p in self.unbound_proxies.items() if p.external}
+
+    def new_table(self, number):
+        """An empty table. Without orders proxies admit everything and try again as the terms say."""
+        return Table(number, {k: (self.open_level, self.terms.tries) for k in range(len(self.terms.routes))})
+
+    def update_effective(self, now, proxy, mark):
+        """Records an acknowledgement. A push takes effect once all but a tenth of the calls follow it."""
+        for kind, acknowledgements in list(self.awaited.items()):
+            acknowledgements.acknowledge(proxy, mark)
+            if acknowledgements.complete and acknowledgements.pending_calls <= 0.1 * self.call_rate:
+                self.effective_at[kind], _ = now, self.awaited.pop(kind)
+
+    def on_task_sums(self, now, event):
+        if event.task in self.tasks and event.span <= now - self.first_join_at + self.terms.report_period:
+            self.sums_at = self.sums_at if self.pending_sums else now
+            self.pending_sums.append(event)
+
+    def end_of_sums(self, now):
+        """The time up to which the pending sums have counted. The spans of a (task, zone) pair add up; the
+        median of all pairs excludes those with idle periods or lost sums."""
+        base = self.counted_until or {(e.task, e.zone): self.first_join_at for e in self.pending_sums}
+        ends = [base[e.task, e.zone] + e.span for e in self.pending_sums if (e.task, e.zone) in base]
+        until = min(int(statistics.median(ends)) if ends else now - self.report_delay, now)
+        kept = {pair: at for pair, at in self.counted_until.items() if pair[0] in self.tasks}
+        self.report_delay, self.counted_until = (
+            now - until, kept | {(e.task, e.zone): until for e in self.pending_sums})
         return until
 
-    def gather(self, now):
-        """Keeps of the last sums what was wholly counted after the last push took effect, and steps on it."""
-        until = self.counted_until(now)
-        spans = statistics.median([event.span for event in self.pending])
-        self.round += BETA * (max(spans, self.terms.report_period) - self.round)
-        heard, since = {}, [0, 0, 0.0]
-        for event in self.pending:
+    def evaluate_sums(self, now):
+        """Evaluates the pending sums. Adjusts the shares once there are enough sums that were measured wholly
+        after the last push of weights took effect."""
+        until = self.end_of_sums(now)
+        spans = statistics.median([event.span for event in self.pending_sums])
+        self.report_round += SMOOTHING_FACTOR * (max(spans, self.terms.report_period) - self.report_round)
+        sums_by_task, level_sums = {}, [0, 0, 0.0]  # level_sums: measured mostly at the present levels
+        for event in self.pending_sums:
             task, good = self.tasks.get(event.task), event.tries - event.failures
             if not task or min(event.span, event.tries) <= 0 or until - event.span < task.ramp_from or (
                     good < 0 or good and not 0 < event.latency < math.inf):
-                continue  # nothing, or of the task's life before its restart, or it makes no sense
-            sums = event.tries, event.failures, good and good * event.latency  # none good: whatever it says
-            heard[event.task] = [a + b for a, b in zip(heard.get(event.task, (0, 0, 0.0)), sums, strict=True)]
-            task.take_load(event.load)
-            if 0 < self.effect["weights"] <= until - event.span:
-                task.count(*sums)
-            if 0 < self.effect["levels"] <= until - event.span / 2:
-                since = [a + b for a, b in zip(since, sums, strict=True)]
-        judged = [(self.tasks[name], *sums) for name, sums in heard.items() if self.learn(now, name, *sums)]
-        self.usual = self.usual_failing(now)
+                continue  # no calls, impossible values, or from before the task's restart
+            # Without good answers the reported latency has no meaning.
+            sums = event.tries, event.failures, good and good * event.latency
+            sums_by_task[event.task] = [
+                a + b for a, b in zip(sums_by_task.get(event.task, (0, 0, 0.0)), sums, strict=True)]
+            task.update_load(event.load)
+            if 0 < self.effective_at["weights"] <= until - event.span:
+                task.add_calls(*sums)
+            if 0 < self.effective_at["levels"] <= until - event.span / 2:
+                level_sums = [a + b for a, b in zip(level_sums, sums, strict=True)]
+        judged = [(self.tasks[name], *sums) for name, sums in sums_by_task.items()
+                  if self.update_statistics(now, name, *sums)]
+        self.usual_failure_share = self.median_failure_share(now)
         for task, tries, failures, _ in judged:
-            self.weigh(task, failures, tries - failures, self.usual)
-        if self.usual < NO_TRIES:
-            self.held *= 1 + BETA * (max(self.piled() * PILED, 1 / self.held) - 1)
-        if since[0] and self.terms.level_kind == "fraction":
-            self.admit(*since)
-        tasks, self.pending = [t for t in self.mine if not t.out], []
-        if tasks and sum(t.tries for t in tasks) >= ENOUGH[any(t.headroom for t in tasks)] * len(tasks):
-            self.step(tasks)
-
-    def learn(self, now, name, tries, failures, latency):
-        """Slow answers are overload, which the step eases: out, it would jam others. So with probes."""
+            self.update_evidence(task, failures, tries - failures, self.usual_failure_share)
+        if self.usual_failure_share < NO_RETRY_FAILURE_SHARE:
+            self.usual_in_flight *= 1 + SMOOTHING_FACTOR * (
+                max(self.backlog() * BACKLOG_RATIO, 1 / self.usual_in_flight) - 1)
+        if level_sums[0] and self.terms.level_kind == "fraction":
+            self.update_levels(*level_sums)
+        tasks, self.pending_sums = [t for t in self.own_tasks if not t.ejected], []
+        if tasks and sum(t.tries for t in tasks) >= (
+                MIN_ANSWERS_PER_TASK[any(t.headroom for t in tasks)] * len(tasks)):
+            self.update_shares(tasks)
+
+    def update_statistics(self, now, name, tries, failures, latency):
+        """Updates a task's statistics; returns whether its failures count as evidence of a fault.
+
+        Those of a slow task do not: slow answers mean overload, which a smaller share relieves. Ejecting the
+        task would overload others. The same goes for its probes.
+        """
         task, good = self.tasks[name], tries - failures
         self.registry.observe(task)
-        task.heard_at, task.met = now, task.met + BETA * (tries - task.met)
-        task.failing += tries / (tries + FEW) * (failures / tries - task.failing)
+        task.reported_at, task.mean_tries = (
+            now, task.mean_tries + SMOOTHING_FACTOR * (tries - task.mean_tries))
+        task.failure_share += tries / (tries + PRIOR_ANSWERS) * (failures / tries - task.failure_share)
         if good:
-            task.answers, task.good_at = (task.answers or latency / good) / 2 + latency / good / 2, now
-        task.slow = now - task.good_at < HEARD * self.round and task.answers > 2 * self.latency_of(task.kind)
+            task.mean_latency, task.succeeded_at = (
+                (task.mean_latency or latency / good) / 2 + latency / good / 2, now)
+        task.slow = now - task.succeeded_at < REPORT_VALID_ROUNDS * self.report_round and (
+            task.mean_latency > 2 * self.median_latency(task.kind))
         return not task.slow
 
-    def latency_of(self, kind):
-        return statistics.median([t.answers for t in self.observed() if t.answers and t.kind == kind] or [0])
+    def median_latency(self, kind):
+        return statistics.median(
+            [t.mean_latency for t in self.observed() if t.mean_latency and t.kind == kind] or [0]
+        )
 
-    def usual_failing(self, now):
-        """What the median call met lately: a few bad tasks leave it near zero, an overload does not."""
-        met = sorted((t.failing, t.met) for t in self.observed() if now - t.heard_at < HEARD * self.round)
-        upto = list(itertools.accumulate(calls for _, calls in met))
-        return next((failing for (failing, _), c in zip(met, upto, strict=True) if 2 * c >= upto[-1]), 0.0)
+    def median_failure_share(self, now):
+        """The failure share that the median call met lately: a few bad tasks leave it near zero, an overload
+        does not."""
+        recent = sorted((t.failure_share, t.mean_tries) for t in self.observed()
+                        if now - t.reported_at < REPORT_VALID_ROUNDS * self.report_round)
+        upto = list(itertools.accumulate(calls for _, calls in recent))
+        return next((failing for (failing, _), c in zip(recent, upto, strict=True) if 2 * c >= upto[-1]), 0.0)
 
-    def heard_probe(self, now, event):
+    def on_probe_answered(self, now, event):
         task = self.tasks.get(event.task)
         if task is None or event.outcome in ("full", "other") or now - event.elapsed < task.ramp_from:
-            return  # it tells nothing of its calls, or of its former life
+            return  # these outcomes say nothing about its calls, or the probe started before its restart
         self.registry.observe(task)
         ok = event.outcome == "ok"
-        task.held = max(0.0, event.load.get("in_hand", task.held))
-        task.good_probes = task.good_probes + 1 if ok else 0
-        task.unlisted = task.unlisted and not ok  # the list says that it is gone; it answers
-        if not task.out and not (task.slow and event.outcome != "error"):
-            self.weigh(task, int(not ok), int(ok), self.silent() * (event.outcome != ABSENT))
-        task.probed = event.outcome
-
-    def weigh(self, task, failures, good, usual):  # Wald's test: a BAD share of failures, or the usual one?
+        task.in_flight = max(0.0, event.load.get("in_hand", task.in_flight))
+        task.probe_successes = task.probe_successes + 1 if ok else 0
+        task.unlisted = task.unlisted and not ok  # the list dropped it, but it answers
+        if not task.ejected and not (task.slow and event.outcome != "error"):
+            self.update_evidence(
+                task, int(not ok), int(ok), self.failing_probe_share() * (event.outcome != UNREACHABLE))
+        task.last_probe = event.outcome
+
+    def update_evidence(self, task, failures, good, usual):
+        """Wald's sequential test: does the task fail as a faulty one does, or as is usual at present?"""
         usual = min(max(usual, 0.02), 0.8)
-        bad = max(BAD, 0.4 * usual + 0.6 * (usual > 0.1))
-        task.doubt += failures * math.log(bad / usual) + good * math.log((1 - bad) / (1 - usual))
-        task.doubt = min(max(task.doubt, -TRUST), 2 * SURE)
-
-    def heard_route(self, now, event):
-        self.calls_heard[event.route] = self.calls_heard.get(event.route, 0) + event.calls
-
-    READ = {
-        gp.ListHeard: heard_list, gp.ProxyJoined: heard_join, gp.ProxyLeft: heard_leave,
-        gp.Applied: heard_applied, gp.OrdersLost: heard_lost, gp.OrdersInDoubt: heard_doubt,
-        gp.TaskSums: heard_sums, gp.RouteSums: heard_route, gp.ProbeAnswered: heard_probe,
+        faulty = max(FAULTY_FAILURE_SHARE, 0.4 * usual + 0.6 * (usual > 0.1))
+        task.fault_evidence += (
+            failures * math.log(faulty / usual) + good * math.log((1 - faulty) / (1 - usual)))
+        task.fault_evidence = min(max(task.fault_evidence, -MAX_GOOD_EVIDENCE), 2 * EJECTION_EVIDENCE)
+
+    def on_route_sums(self, now, event):
+        self.route_calls[event.route] = self.route_calls.get(event.route, 0) + event.calls
+
+    HANDLERS = {
+        gp.ListHeard: on_task_list, gp.ProxyJoined: on_proxy_joined, gp.ProxyLeft: on_proxy_left,
+        gp.Applied: on_applied, gp.OrdersLost: on_orders_lost, gp.OrdersInDoubt: on_orders_in_doubt,
+        gp.TaskSums: on_task_sums, gp.RouteSums: on_route_sums, gp.ProbeAnswered: on_probe_answered,
         gp.TimerDue: lambda *_: None,
     }
 
     def probe(self, now, task, orders):
-        task.probing = self.tasks.get(task.id) is task and task.id in self.own
-        if task.probing:
-            orders.append(gp.Probe(task.id, self.probe_wait))
-            doubted = task.out or task.doubt > SURE / 3
-            self.later(now + (PROBE_SOON if doubted else PROBE_EVERY), Brain.probe, task)
-
-    def step(self, tasks):
-        """The design's step: each share times its smoothed headroom, bounded, then renormalised."""
-        self.effect["weights"] = 0
+        """Probes a task and schedules its next probe, while it belongs to this assigner's part."""
+        task.probe_scheduled = self.tasks.get(task.id) is task and task.id in self.own_ids
+        if task.probe_scheduled:
+            orders.append(gp.Probe(task.id, self.probe_timeout))
+            suspected = task.ejected or task.fault_evidence > EJECTION_EVIDENCE / 3
+            self.schedule(
+                now + (SUSPECT_PROBE_INTERVAL_TENTHS_MS if suspected else PROBE_INTERVAL_TENTHS_MS),
+                Brain.probe, task)
+
+    def update_shares(self, tasks):
+        """Multiplies each share by its task's smoothed headroom within bounds, then normalises the shares."""
+        self.effective_at["weights"] = 0
         self.awaited.pop("weights", None)
-        usual = sum(t.spent(FAILED) for t in tasks) / sum(t.tries for t in tasks)
-        # Tasks listed as of one kind tell of each other: a thin reading is pulled to its kind's average.
+        usual = sum(t.total_latency(FAILURE_LATENCY_TENTHS_MS) for t in tasks) / sum(t.tries for t in tasks)
+        # Tasks listed as one kind are alike: a reading of few calls is pulled towards its kind's average.
         kinds = {kind: [t for t in tasks if t.kind == kind] for kind in sorted({t.kind for t in tasks})}
-        for same in kinds.values() if any(not (p.bound or p.fresh) for p in self.behind.values()) else ():
-            mean = statistics.fmean(t.tries for t in same)  # tables ordered before this start still stand:
-            for t in same if not any(t.headroom for t in tasks) else ():  # their calls tell the shares
-                t.share = max(mean * (t.tries + FEW) / (mean + FEW), 1.0)
-        alike = {kind: (sum(t.spent(FAILED) for t in same) + FEW * usual) / (sum(t.tries for t in same) + FEW)
-                 for kind, same in kinds.items()}
+        # Before the first step, while proxies still follow tables ordered before this start, the calls that a
+        # task gets show its share there.
+        for same in kinds.values() if any(
+                not (p.bound or p.fresh) for p in self.channel_proxies.values()) else ():
+            mean = statistics.fmean(t.tries for t in same)
+            for t in same if not any(t.headroom for t in tasks) else ():
+                t.share = max(mean * (t.tries + PRIOR_ANSWERS) / (mean + PRIOR_ANSWERS), 1.0)
+        kind_latency = {
+            kind: (sum(t.total_latency(FAILURE_LATENCY_TENTHS_MS) for t in same) + PRIOR_ANSWERS * usual)
+            / (sum(t.tries for t in same) + PRIOR_ANSWERS)
+            for kind, same in kinds.items()
+        }
         for t in tasks:
-            latest = (t.tries + FEW) / (t.spent(FAILED) + FEW * alike[t.kind]) / t.share**RATE
-            t.headroom = BETA * latest + (1 - BETA) * t.headroom if t.headroom else latest
-            t.forget()
+            latest = (
+                (t.tries + PRIOR_ANSWERS)
+                / (t.total_latency(FAILURE_LATENCY_TENTHS_MS) + PRIOR_ANSWERS * kind_latency[t.kind])
+                / t.share**SHARE_EXPONENT
+            )
+            t.headroom = (
+                SMOOTHING_FACTOR * latest + (1 - SMOOTHING_FACTOR) * t.headroom if t.headroom else latest
+            )
+            t.reset_counts()
         average = sum(t.share * t.headroom for t in tasks) / sum(t.share for t in tasks)
         for t in tasks:
-            moved = min(max(t.headroom / average, 1 / STEP_DOWN), STEP_UP)
-            # The reading was of the old share: kept as it was, it would move the new one once more.
-            t.share, t.headroom = t.share * moved, t.headroom / moved
+            ratio = min(max(t.headroom / average, 1 / MAX_SHARE_DECREASE_RATIO), MAX_SHARE_INCREASE_RATIO)
+            # The headroom was measured at the old share; unchanged, it would move the new one once more.
+            t.share, t.headroom = t.share * ratio, t.headroom / ratio
         scale = len(tasks) / sum(t.share for t in tasks)
         for t in tasks:
-            t.share = max(t.share * scale, FLOOR)
+            t.share = max(t.share * scale, MIN_SHARE_RATIO)
 
-    def admit(self, tries, failures, latency):
-        """How much work to let in where the fleet is short, least worth first; SLO time stands for work."""
+    def update_levels(self, tries, failures, latency):
+        """Sets how much of each route is admitted where capacity is short, cutting the routes of the least
+        importance for their work first. A call's work is estimated by its SLO time."""
         slo = statistics.fmean(r.slo_time for r in self.terms.routes)
-        late = latency / max(tries - failures, 1) > LATE * slo or self.usual > NO_TRIES
-        pressure = self.busy() / FULL
+        late = latency / max(tries - failures, 1) > LATE_SLO_RATIO * slo or (
+            self.usual_failure_share > NO_RETRY_FAILURE_SHARE
+        )
+        pressure = self.busy_share() / TARGET_BUSY_SHARE
         if late:
-            pressure = max(pressure * JAMMED, self.piled(), 1.0)  # never more; idle cores: something shared
-        self.let_in = min(self.let_in * min(max(1 / max(pressure, 0.1), LET_IN_DOWN), LET_IN_UP), 1.0)
-        work = {k: max(self.calls_heard.get(k, 1), 1) * r.slo_time for k, r in enumerate(self.terms.routes)}
-        cut, every = 1 - self.let_in, sum(work.values())
+            # Never admit more: where cores are idle, the tasks wait for something that they share.
+            pressure = max(pressure * LATE_PRESSURE_RATIO, self.backlog(), 1.0)
+        self.admitted_share = min(self.admitted_share * min(
+            max(1 / max(pressure, 0.1), MAX_ADMISSION_DECREASE_RATIO), MAX_ADMISSION_INCREASE_RATIO), 1.0)
+        work = {k: max(self.route_calls.get(k, 1), 1) * r.slo_time for k, r in enumerate(self.terms.routes)}
+        cut, total_work = 1 - self.admitted_share, sum(work.values())
         for k in sorted(work, key=lambda k: self.terms.routes[k].importance / self.terms.routes[k].slo_time):
-            part = min(cut * every / work[k], 1 - LEAST)
-            cut -= part * work[k] / every
-            self.levels[k] = round(1 - part, 2)
-        self.calls_heard = {}
-
-    def judge(self, now, known):  # takes out what the test holds bad, worst first, lets back what proved good
-        # Calls fail where nothing listens any more: no overload, so the limit on outs leaves it out.
-        lost = [t for t in known if t.probed == ABSENT and t.heard_at > t.good_at]
-        lost = lost * (len(lost) <= LOST_MOST * len(self.ready())) + [t for t in known if t.unlisted]
+            part = min(cut * total_work / work[k], 1 - MIN_ROUTE_LEVEL)
+            cut -= part * work[k] / total_work
+            self.route_levels[k] = round(1 - part, 2)
+        self.route_calls = {}
+
+    def eject_and_readmit(self, now, known):
+        """Ejects tasks that the test takes for faulty, the worst first; readmits those that have recovered.
+
+        Where nothing listens any more calls fail without an overload: the limit does not count such tasks.
+        """
+        lost = [t for t in known if t.last_probe == UNREACHABLE and t.reported_at > t.succeeded_at]
+        lost = lost * (len(lost) <= MAX_UNREACHABLE_SHARE * len(self.ready())) + [
+            t for t in known if t.unlisted]
         for t in known:
-            t.trial = t.trial and t.doubt > 0
-            if t.out and now >= t.hold and (t.good_probes >= 2 or not self.terms.probes_allowed):
-                t.readmit(SURE / 2)
+            t.on_probation = t.on_probation and t.fault_evidence > 0
+            if t.ejected and now >= t.ejected_until and (
+                    t.probe_successes >= 2 or not self.terms.probes_allowed):
+                t.readmit(EJECTION_EVIDENCE / 2)
                 self.notes.append(f"{t.id} is let back on trial")
-        gone = sum(t.share for t in self.mine if (t.out or t.trial) and t not in lost)
-        most = OUT_MOST * self.calm() * sum(t.share for t in self.mine)
-        for t in sorted(known, key=lambda t: -t.doubt):
-            if not t.out and t.doubt >= SURE and (t in lost or gone + t.share <= most):
-                gone += t.share * (t not in lost)
-                t.hold = now + min(HOLD * 2**t.holds, HOLD_MOST) * self.terms.report_period * (t not in lost)
-                t.out, t.good_probes, t.holds = True, 0, t.holds + (t not in lost)
+        ejected = sum(t.share for t in self.own_tasks if (t.ejected or t.on_probation) and t not in lost)
+        limit = MAX_EJECTED_SHARE * self.health() * sum(t.share for t in self.own_tasks)
+        for t in sorted(known, key=lambda t: -t.fault_evidence):
+            if not t.ejected and t.fault_evidence >= EJECTION_EVIDENCE and (
+                    t in lost or ejected + t.share <= limit):
+                ejected += t.share * (t not in lost)
+                t.ejected_until = now + min(
+                    MIN_EJECTION_PERIODS * 2**t.ejections, MAX_EJECTION_PERIODS
+                ) * self.terms.report_period * (t not in lost)
+                t.ejected, t.probe_successes, t.ejections = True, 0, t.ejections + (t not in lost)
                 self.notes.append(f"{t.id} is taken out: it fails calls that others answer")
 
-    def calm(self):
-        """1 while few tasks fail, 0 once most fail a third of their calls or many their probes: overload."""
-        jam = max(3 * (self.silent() - MANY), self.piled() - 1, (self.busy() - TIGHT) / (1 - TIGHT))
-        return min(max(0.0, 1 - max(3 * self.usual, jam)), 1.0)
-
-    def piled(self):
-        return statistics.median([t.held for t in self.mine] or [0.0]) / self.held / PILED
-
-    def silent(self):
-        return statistics.fmean([t.probed != "ok" for t in self.mine if not t.out] or [0.0])
-
-    def busy(self):
-        return statistics.fmean([t.busy for t in self.observed() if t.busy and not t.out] or [0.0])
-
-    def wanted(self, now):
+    def health(self):
+        """1 while few tasks fail, down to 0 in an overload: where the median call meets a third of failures,
+        many tasks fail their probes, calls pile up or all cores are busy."""
+        overload = max(
+            3 * (self.failing_probe_share() - SINGLE_FAULT_SHARE),
+            self.backlog() - 1,
+            (self.busy_share() - OVERLOAD_BUSY_SHARE) / (1 - OVERLOAD_BUSY_SHARE),
+        )
+        return min(max(0.0, 1 - max(3 * self.usual_failure_share, overload)), 1.0)
+
+    def backlog(self):
+        """The calls in flight at the median task; 1: BACKLOG_RATIO times as many as usual."""
+        return (
+            statistics.median([t.in_flight for t in self.own_tasks] or [0.0])
+            / self.usual_in_flight / BACKLOG_RATIO)
+
+    def failing_probe_share(self):
+        return statistics.fmean([t.last_probe != "ok" for t in self.own_tasks if not t.ejected] or [0.0])
+
+    def busy_share(self):
+        return statistics.fmean(
+            [t.busy_share for t in self.observed() if t.busy_share and not t.ejected] or [0.0])
+
+    def wanted_lines(self, now):
         """The lines that should stand: table -> task -> weight, the average share being 1."""
         ready = self.ready()
-        self.fleet = max(self.fleet, len(ready))
-        self.mine = self.part(now, ready)
-        self.own = frozenset(t.id for t in self.mine)
-        for t in [t for t in self.mine if self.terms.probes_allowed and not t.probing]:
-            t.probing = True
-            self.later(now + int(self.uniform(0, PROBE_EVERY)), Brain.probe, t)
-        dealt, calm = self.deal(now, self.mine), self.calm()
-        thin = 1 - max(self.usual, self.silent(), self.piled() - 1)
-        each = max(self.calls, 0.1) * max(self.terms.proxies / max(len(self.behind), 1), 1) / self.fleet
-        even = self.fleet / max(len(ready), 1)
-        return {t: self.lines_of(now, tasks, max(t.calls / each, even * len(tasks)), calm, thin)
-                for t, tasks in dealt.items()}
-
-    def deal(self, now, mine):
-        """Tasks by table: one, or as many smaller ones as it takes to bind all who are joined in time."""
-        it, proxies = self.terms, max(len(self.behind), self.terms.proxies / self.terms.assigners)
-        room = POOLED * it.channel_lines / proxies - it.head_lines - 2 - len(it.routes)
-        while len(self.tables) < math.ceil(len(mine) / max(room, LINES)):
+        self.fleet_size = max(self.fleet_size, len(ready))
+        self.own_tasks = self.part(now, ready)
+        self.own_ids = frozenset(t.id for t in self.own_tasks)
+        for t in [t for t in self.own_tasks if self.terms.probes_allowed and not t.probe_scheduled]:
+            t.probe_scheduled = True
+            self.schedule(now + int(self.uniform(0, PROBE_INTERVAL_TENTHS_MS)), Brain.probe, t)
+        assigned, health = self.assign_to_tables(now, self.own_tasks), self.health()
+        unfailing = 1 - max(self.usual_failure_share, self.failing_probe_share(), self.backlog() - 1)
+        # The calls of a task while the whole fleet is ready, and what each ready task gets in such units now
+        task_calls = max(self.call_rate, 0.1) * max(
+            self.terms.proxies / max(len(self.channel_proxies), 1), 1) / self.fleet_size
+        even = self.fleet_size / max(len(ready), 1)
+        return {
+            t: self.table_lines(
+                now, tasks, max(t.call_rate / task_calls, even * len(tasks)), health, unfailing)
+            for t, tasks in assigned.items()
+        }
+
+    def assign_to_tables(self, now, own_tasks):
+        """The tasks of each table: of one, or of as many smaller ones as are needed to bind all proxies in
+        time. A table with few healthy tasks for its calls gets some from the table that has the most."""
+        terms, proxies = self.terms, max(len(self.channel_proxies), self.terms.proxies / self.terms.assigners)
+        max_lines = MAX_BIND_ALL_S * terms.channel_lines / proxies - terms.head_lines - 2 - len(terms.routes)
+        while len(self.tables) < math.ceil(len(own_tasks) / max(max_lines, MIN_TABLE_LINES)):
             self.tables.append(self.new_table(self.tables[-1].number % 60_000 + 1))
-        dealt = {t: [] for t in self.tables}
-        for task in sorted(mine, key=lambda task: task.table not in dealt):  # the new ones last
-            if task.table not in dealt:
-                task.table = min(dealt, key=lambda t: len(dealt[t]))
-            dealt[task.table].append(task)
-        good = {t: [x for x in tasks if x.warm(now) and not x.out] for t, tasks in dealt.items()}
-        spare = self.calls / len(self.tables) / 4 + 0.1  # a table nobody is bound to yet expects some
-        strength = {t: len(good[t]) / (t.calls + spare) for t in good}
-        for poor in self.tables if len(self.tables) > 1 else ():
-            rich, few = max(strength, key=strength.get), len(good[poor]) < BARE
-            pace = 0 if few and not poor.users else PACE[1 if few else 2]
-            due = few or 2 * strength[poor] < strength[rich] and self.queue <= START[2] * it.channel_lines
-            if due and now - self.dealt_at >= pace:
-                self.dealt_at = now if poor.users else self.dealt_at
-                for task in good[rich][len(good[rich]) - min(LINES, len(good[rich]) // 2):]:
-                    task.table = poor
-                    for tasks in dealt, good:
-                        tasks[rich].remove(task)
-                        tasks[poor].append(task)
-                strength |= {t: len(good[t]) / (t.calls + spare) for t in (poor, rich)}
-        return dealt
-
-    def lines_of(self, now, mine, even, calm, thin):
-        tasks = [t for t in mine if not t.out]
-        if not any(t.warm(now) for t in tasks):  # failing beats none: the least doubtful warm task stays
-            tasks += sorted((t for t in mine if t.out and t.warm(now)), key=lambda t: t.doubt)[:1]
-        full = {t.id: min(t.share, TRIAL) if t.trial else t.share for t in tasks if t.warm(now)}
-        # A cold task gets its ramp's part of an even share; while most fail, it would be crowded: it waits.
-        calm = max(calm**2 * (calm > COLD_CALM) if full else 1.0, thin if self.spread_thin(full) else 0.0)
-        bears = {t: self.ramp(now, t) for t in tasks if not t.warm(now)}
-        enough = full or sum(t.share * part for t, part in bears.items()) >= COLD_ALONE * even
-        ramp = {t.id: calm * t.share * min(part, 1.0) / even for t, part in bears.items() if enough}
-        taken = sum(ramp.values())
-        total = sum(full.values()) / (1 - min(taken, 0.9)) if full else even
-        return full | {k: part * total for k, part in ramp.items() if part * total >= LEAST_WEIGHT}
+        assigned = {t: [] for t in self.tables}
+        for task in sorted(own_tasks, key=lambda task: task.table not in assigned):  # the new ones last
+            if task.table not in assigned:
+                task.table = min(assigned, key=lambda t: len(assigned[t]))
+            assigned[task.table].append(task)
+        healthy = {t: [x for x in tasks if x.warm(now) and not x.ejected] for t, tasks in assigned.items()}
+        expected = self.call_rate / len(self.tables) / 4 + 0.1  # calls that a table may get by further binds
+        strength = {t: len(healthy[t]) / (t.call_rate + expected) for t in healthy}
+        for weak in self.tables if len(self.tables) > 1 else ():
+            strong, few = max(strength, key=strength.get), len(healthy[weak]) < MIN_WARM_LINES
+            interval = 0 if few and not weak.channel_proxies else PUSH_INTERVALS_TENTHS_MS[1 if few else 2]
+            needed = few or (
+                2 * strength[weak] < strength[strong]
+                and self.queue <= PUSH_START_QUEUE_S[2] * terms.channel_lines)
+            if needed and now - self.rebalanced_at >= interval:
+                self.rebalanced_at = now if weak.channel_proxies else self.rebalanced_at
+                for task in healthy[strong][
+                        len(healthy[strong]) - min(MIN_TABLE_LINES, len(healthy[strong]) // 2):]:
+                    task.table = weak
+                    for tasks in assigned, healthy:
+                        tasks[strong].remove(task)
+                        tasks[weak].append(task)
+                strength |= {t: len(healthy[t]) / (t.call_rate + expected) for t in (weak, strong)}
+        return assigned
+
+    def table_lines(self, now, assigned, load, health, unfailing):
+        """A table's lines: task -> weight. load: the table's calls in units of an average task's calls.
+
+        A cold task gets as much of an even share as it can take. While many tasks fail it gets none, as all
+        calls that proxies keep from the others would go to it.
+        """
+        tasks = [t for t in assigned if not t.ejected]
+        if not any(t.warm(now) for t in tasks):  # a failing task is better than none: keep the least suspect
+            tasks += sorted(
+                (t for t in assigned if t.ejected and t.warm(now)), key=lambda t: t.fault_evidence)[:1]
+        warm = {
+            t.id: min(t.share, PROBATION_SHARE_RATIO) if t.on_probation else t.share
+            for t in tasks
+            if t.warm(now)
+        }
+        health = max(
+            health**2 * (health > MIN_HEALTH_FOR_COLD) if warm else 1.0,
+            unfailing if self.rarely_avoided(warm) else 0.0)
+        capacity = {t: self.cold_capacity(now, t) for t in tasks if not t.warm(now)}
+        enough = warm or (
+            sum(t.share * part for t, part in capacity.items()) >= COLD_ONLY_CAPACITY_SHARE * load)
+        cold = {t.id: health * t.share * min(part, 1.0) / load for t, part in capacity.items() if enough}
+        cold_part = sum(cold.values())
+        total = sum(warm.values()) / (1 - min(cold_part, 0.9)) if warm else load
+        return warm | {k: part * total for k, part in cold.items() if part * total >= MIN_WEIGHT_RATIO}
 
     def part(self, now, ready):
-        """Each orders a part where the whole takes the channel too long; with several tables none narrows."""
-        it, even, size = self.terms, 1 / self.terms.assigners, len(self.behind) / self.terms.proxies
-        self.width = size = max(size, even, self.width * (len(self.tables) > 1))
-        whole = it.proxies * even * (self.fleet + it.head_lines)
-        if whole <= min(it.queue_limit, POOLED * it.channel_lines) or size >= 1:
+        """The ready tasks that this assigner orders: all, or a part where all take the channel too long.
+
+        The part is as large as the share of the proxies that are joined, and with several tables it never
+        shrinks. Assigners cut it from the same circular order, each from its own place.
+        """
+        terms, even, size = (
+            self.terms, 1 / self.terms.assigners, len(self.channel_proxies) / self.terms.proxies)
+        self.part_size = size = max(size, even, self.part_size * (len(self.tables) > 1))
+        whole = terms.proxies * even * (self.fleet_size + terms.head_lines)
+        if whole <= min(terms.queue_limit, MAX_BIND_ALL_S * terms.channel_lines) or size >= 1:
             return ready
-        if self.order[0] is not ready:
-            named, cut = sorted(ready, key=lambda t: t.id), round(len(ready) * it.rank / it.assigners)
-            home = it.homed and it.assigners >= it.zones
-            self.order = ready, sorted(named[cut:] + named[:cut], key=lambda t: home and t.zone != it.zone)
-        mine = self.order[1][:math.ceil(len(ready) * size)]
-        return mine if any(t.warm(now) and not t.out for t in mine) else ready
-
-    def spread_thin(self, lines):  # a proxy meets each task too seldom to avoid any: none is crowded
-        each = self.calls / max(len(self.behind), 1) / max(len(lines), 1) / (1.001 - self.usual)  # come again
-        return not self.terms.strikes or self.terms.strikes / max(each, 0.001) > THIN
-
-    def ramp(self, now, task):
+        if self.task_order[0] is not ready:
+            named, cut = sorted(ready, key=lambda t: t.id), round(len(ready) * terms.rank / terms.assigners)
+            own_zone_first = terms.homed and terms.assigners >= terms.zones
+            self.task_order = ready, sorted(
+                named[cut:] + named[:cut], key=lambda t: own_zone_first and t.zone != terms.zone)
+        part = self.task_order[1][: math.ceil(len(ready) * size)]
+        return part if any(t.warm(now) and not t.ejected for t in part) else ready
+
+    def rarely_avoided(self, lines):
+        """Whether a proxy meets each task too seldom to avoid any, so that no others get crowded for it."""
+        # The calls of a proxy to each task, with the further tries of those that fail
+        calls = self.call_rate / max(len(self.channel_proxies), 1) / max(len(lines), 1) / (
+            1.001 - self.usual_failure_share)
+        return not self.terms.strikes or self.terms.strikes / max(calls, 0.001) > SLOW_AVOIDANCE_S
+
+    def cold_capacity(self, now, task):
+        """The part of an even share that a cold task may get by its age."""
         age, start, fall = now - task.ramp_from, self.terms.start_share, self.terms.fall_multiple
-        bears = COLD_PART * (fall * (start + (1 - start) * min(age / max(task.ramp_for, 1), 1)))
-        return bears * (age >= COLD_WAIT * self.terms.report_period)
+        capacity = COLD_CAPACITY_SHARE * (fall * (start + (1 - start) * min(age / max(task.ramp_time, 1), 1)))
+        return capacity * (age >= COLD_START_DELAY_PERIODS * self.terms.report_period)
 
     def emit(self, now, orders):
-        """The one place where wanted and present state are compared and the difference goes out."""
-        still = (now - self.queue_at) * (now - self.moved_at > STILL) / SECOND
-        self.queue, self.queue_at = max(0.0, self.queue - still * self.terms.channel_lines / 2), now
-        limit, wanted = self.terms.queue_limit, self.wanted(now)
-        joins = min(JOINS[0] * limit, BINDS * self.terms.channel_lines), JOINS[1] * limit
-        long_ago = now - REPEAT * self.terms.grace  # who waits since may well hold lines of what left
-        joining = sorted(self.waiting.values(), key=lambda p: (p.joined_at > long_ago, -p.rate, p.id))
-        heir = now - self.since < HEIR and not any(t.headroom for t in self.mine)
-        held = [p for p in joining if heir and not p.fresh]
-        joining = [p for p in joining if not heir or p.fresh]
-        # Tried again on proof only: nothing twice. Not while most tasks fail: that would feed a jam.
-        self.cut = self.usual > (NO_TRIES / 2 if self.cut else NO_TRIES)
-        tries = "none" if self.cut else "on proof"
-        levels = {k: (self.levels.get(k, self.open), tries) for k in range(len(self.terms.routes))}
-        start, self.least, reached, all_told, news, drains_wait = self.written, limit, [], True, False, False
+        """The one place where the wanted and the present state are compared and the difference is ordered."""
+        # Without acknowledgements the channel is taken to work off its queue at half its rate.
+        silent_s = (
+            (now - self.queue_updated_at) * (now - self.queue_moved_at > CHANNEL_SILENCE_TENTHS_MS) / SECOND)
+        self.queue, self.queue_updated_at = (
+            max(0.0, self.queue - silent_s * self.terms.channel_lines / 2), now)
+        queue_limit, wanted = self.terms.queue_limit, self.wanted_lines(now)
+        bind_limits = (
+            min(BIND_QUEUE_SHARES[0] * queue_limit, BIND_MAX_QUEUE_S * self.terms.channel_lines),
+            BIND_QUEUE_SHARES[1] * queue_limit,
+        )
+        # A proxy that has waited since before this may well hold lines of tasks that left.
+        late_before = now - LATE_BIND_GRACE_SHARE * self.terms.grace
+        joining = sorted(
+            self.unbound_proxies.values(), key=lambda p: (p.joined_at > late_before, -p.rate, p.id))
+        inheriting = now - self.first_join_at < INHERITED_TABLES_TENTHS_MS and not any(
+            t.headroom for t in self.own_tasks
+        )
+        keeping = [p for p in joining if inheriting and not p.fresh]
+        joining = [p for p in joining if not inheriting or p.fresh]
+        # Tries follow on proof that the call was not carried out, so that nothing is done twice; none follow
+        # while most tasks fail, as they would feed the overload.
+        self.retries_stopped = self.usual_failure_share > (
+            NO_RETRY_FAILURE_SHARE / 2 if self.retries_stopped else NO_RETRY_FAILURE_SHARE
+        )
+        tries = "none" if self.retries_stopped else "on proof"
+        levels = {
+            k: (self.route_levels.get(k, self.open_level), tries) for k in range(len(self.terms.routes))}
+        start, self.shortest_message, reached, complete, levels_moved, drains_wait = (
+            self.written_lines, queue_limit, [], True, False, False
+        )
         for table in sorted(self.tables, key=lambda t: t.pushed_at[2]):
-            fit, changes = self.push(now, table, wanted[table], joining, orders)
-            moved = [k for k in levels if levels[k] != table.admitted.get(k)]
-            moved = moved if fit or self.fits(now, [(1,)] * len(moved), table) else []
-            told = moved and (self.let_in < 1 or table.admitted and (table.levelled or self.terms.tries))
+            sent, changes = self.push_lines(now, table, wanted[table], joining, orders)
+            moved = [k for k in levels if levels[k] != table.levels.get(k)]
+            moved = moved if sent or self.fitting_changes(now, [(1,)] * len(moved), table) else []
+            notable = moved and (
+                self.admitted_share < 1 or table.levels and (table.levels_ordered or self.terms.tries)
+            )
             for level in sorted({levels[k] for k in moved}):
                 routes = tuple(k for k in moved if levels[k] == level)
                 orders.append(gp.Admit(table.number, routes, *level))
-                table.levelled = True
-                if told and not news:
-                    part = level[0] / self.open
-                    self.notes.append(f"routes {routes} are let in at {part:.0%}, tried again {tries}")
-            table.admitted = levels if moved else table.admitted
-            if fit or moved:
-                self.least = min(self.least, self.write(now, fit + len(moved), table.users.values()))
-                reached += table.users.values()
-            all_told, news = all_told and fit == len(changes), news or bool(told)
-            drains_wait = drains_wait or fit < len(changes) and changes[fit][0] == 0
-        worth = {t: sum(lines.values()) for t, lines in wanted.items()}
-        # Binds never crowd out a drain: those with most calls first, the others keep what they hold.
+                table.levels_ordered = True
+                if notable and not levels_moved:
+                    share = level[0] / self.open_level
+                    self.notes.append(f"routes {routes} are let in at {share:.0%}, tried again {tries}")
+            table.levels = levels if moved else table.levels
+            if sent or moved:
+                self.shortest_message = min(
+                    self.shortest_message,
+                    self.write(now, sent + len(moved), table.channel_proxies.values()),
+                )
+                reached += table.channel_proxies.values()
+            complete, levels_moved = complete and sent == len(changes), levels_moved or bool(notable)
+            drains_wait = drains_wait or sent < len(changes) and changes[sent][0] == 0
+        total_weight = {t: sum(lines.values()) for t, lines in wanted.items()}
+        # Binds never take a drain's room. Proxies with most calls go first; the others keep their tables.
         while joining:
             p = joining[0]
-            late = p.joined_at <= long_ago
-            table = max(self.tables, key=lambda t: worth[t] / (t.calls + p.rate))
-            lines = len(table.laid) + len(levels) * table.levelled + 1
-            if self.queue + lines + self.terms.head_lines + 1 > joins[late and not drains_wait]:
+            late = p.joined_at <= late_before
+            table = max(self.tables, key=lambda t: total_weight[t] / (t.call_rate + p.rate))
+            lines = len(table.weights) + len(levels) * table.levels_ordered + 1
+            if self.queue + lines + self.terms.head_lines + 1 > bind_limits[late and not drains_wait]:
                 break
             orders.append(gp.Bind(p.id, table.number))
             self.bind(p, True, table)
-            self.least = min(self.least, self.write(now, lines, [p]))
-            reached += [joining.pop(0)] * (not p.aside)
-        waiting = [p for p in joining + held if not p.aside]
-        told_all = bool(waiting) and self.shut_out(now, waiting, bool(held), orders)
-        if self.written > start:
+            self.shortest_message = min(self.shortest_message, self.write(now, lines, [p]))
+            reached += [joining.pop(0)] * (not p.external)
+        waiting = [p for p in joining + keeping if not p.external]
+        ask_all = bool(waiting) and self.withdraw_departed(now, waiting, bool(keeping), orders)
+        if self.written_lines > start:
             self.mark = (self.mark + 1) % 65_536
-            orders.append(gp.Seal(self.mark, told_all))
-            self.sent[self.mark] = [start, self.least, self.written]
-        if news:
-            self.effect["levels"], self.awaited["levels"] = 0, Wait().ask(reached, self.mark, True)
-        if not self.effect["weights"]:
-            self.awaited.setdefault("weights", Wait()).ask(reached, self.mark, all_told)
-        self.settle(now, None, self.mark)  # where nothing moved enough to be sent, the last push still stands
-
-    def push(self, now, table, lines, joining, orders):
-        """Orders what differs in a table, as far as it may go now; returns how many of what changes."""
-        laid, changes = table.laid, []
-        bare = not any(weight and k in lines for k, weight in laid.items())
-        for k in laid:
-            # A list that shrank to nothing: where being dropped does not bind, the last table stands.
+            orders.append(gp.Seal(self.mark, ask_all))
+            self.sent_batches[self.mark] = [start, self.shortest_message, self.written_lines]
+        if levels_moved:
+            self.effective_at["levels"], self.awaited["levels"] = (
+                0, PushAcknowledgements().expect(reached, self.mark, True)
+            )
+        if not self.effective_at["weights"]:
+            self.awaited.setdefault("weights", PushAcknowledgements()).expect(reached, self.mark, complete)
+        self.update_effective(now, None, self.mark)  # if no change was worth sending, the last push stands
+
+    def push_lines(self, now, table, lines, joining, orders):
+        """Orders the lines of a table that differ, most urgent first, as far as pace and channel allow.
+
+        Returns how many changes were ordered, and all changes: (urgency, sort key, task, weight).
+        """
+        weights, changes = table.weights, []
+        bare = not any(weight and k in lines for k, weight in weights.items())
+        for k in weights:
+            # If the list has become empty and being dropped from it does not bind, the last table stands.
             if k not in lines and (lines or self.terms.gone_binds or self.lines[k].state == "draining"):
-                task, later = self.tasks[k], laid[k] < math.inf and self.lines[k].state == "ready"
-                changes.append((later * (1 if task.out or not task.warm(now) else 2), -laid[k], k, 0.0))
+                task, deferrable = self.tasks[k], weights[k] < math.inf and self.lines[k].state == "ready"
+                changes.append((
+                    deferrable * (1 if task.ejected or not task.warm(now) else 2), -weights[k], k, 0.0))
         for k, weight in lines.items():
-            # Cold lines shrink soon and grow last: while warm ones are missing, they get more calls.
-            old, warm = laid.get(k, 0.0), self.tasks[k].warm(now)
+            # Cold lines shrink early and grow last: while warm ones are missing, they get more calls.
+            old, warm = weights.get(k, 0.0), self.tasks[k].warm(now)
             if not old and (warm or bare):
                 changes.append((int(not bare), -weight, k, weight))
-            elif old == math.inf or abs(weight - old) > MOVED * old:
+            elif old == math.inf or abs(weight - old) > MIN_WEIGHT_CHANGE_RATIO * old:
                 urgency = (old < math.inf) * (1 if weight < old and not warm else 2)
                 changes.append((urgency, -abs(weight - old) * (warm or weight < old), k, weight))
         changes.sort()
-        fit = self.fits(now, changes, table)
-        for urgency, _, k, weight in changes[:fit]:
-            table.pushed_at[urgency] = now if table.users else table.pushed_at[urgency]
+        sent = self.fitting_changes(now, changes, table)
+        for urgency, _, k, weight in changes[:sent]:
+            table.pushed_at[urgency] = now if table.channel_proxies else table.pushed_at[urgency]
             if weight and self.withdrawn.pop(k, None) is not None:
                 orders.append(gp.Withdraw(k, False))
                 self.write(now, 1, joining)
             orders.append(gp.SetLine(table.number, k, round(weight, 3)))
-            table.lay(k, weight)
-            self.left_at[k] = self.left_at[k] if weight else now
-        return fit, changes
-
-    def shut_out(self, now, waiting, held, orders):
-        """Shuts who waits out of tasks that left, if binds would end late; tells whether all must answer."""
-        head, binds = self.terms.head_lines + 1, ("draining", "gone" if self.terms.gone_binds else "draining")
-        lines = statistics.fmean(len(t.laid) for t in self.tables) + len(self.terms.routes) + 1 + head
-        ends = max(HEIR - now + self.since, 0) if held else 0
+            table.set_weight(k, weight)
+            self.changed_at[k] = self.changed_at[k] if weight else now
+        return sent, changes
+
+    def withdraw_departed(self, now, waiting, keeping, orders):
+        """Withdraws tasks that left from the proxies that wait, if these would be bound too late.
+
+        keeping: some of them keep older tables on purpose. Returns whether all proxies must acknowledge.
+        """
+        head, binding = (
+            self.terms.head_lines + 1, ("draining", "gone" if self.terms.gone_binds else "draining"))
+        lines = statistics.fmean(len(t.weights) for t in self.tables) + len(self.terms.routes) + 1 + head
+        ends = max(INHERITED_TABLES_TENTHS_MS - now + self.first_join_at, 0) if keeping else 0
         ends += (self.queue + len(waiting) * lines) / self.terms.channel_lines * SECOND
-        if ends <= IN_TIME * self.terms.grace - now + min(p.joined_at for p in waiting):
-            return False
-        room = int((ROOM[0] * self.terms.queue_limit - self.queue) / len(waiting) - head)
-        # Nothing whose line still stands or goes just now: the bound would pay too. Repeated, all hear it.
-        told, long_ago = self.withdrawn, now - REPEAT * self.terms.grace
-        due = [k for k in sorted(self.leaving, key=self.left_at.get) if 0 < now - self.left_at[k] < HELD
-               and self.lines[k].state in binds and not any(k in t.laid for t in self.tables)
-               and (not told.get(k) or any(told[k] < p.joined_at <= long_ago for p in waiting))]
-        due = due if room >= len(due) else due[:max(room, 0)] * (room >= head)  # the earliest first
-        if not due or not held and len(due) + head > lines:  # what costs more than binds only holds them up
+        if ends <= BIND_DEADLINE_GRACE_SHARE * self.terms.grace - now + min(p.joined_at for p in waiting):
             return False
+        room = int((PUSH_QUEUE_SHARES[0] * self.terms.queue_limit - self.queue) / len(waiting) - head)
+        # Only tasks whose line stands in no table and was not removed just now: otherwise the withdrawal
+        # would cost the bound proxies a message as well. One that is repeated goes to all who wait.
+        withdrawn, late_before = self.withdrawn, now - LATE_BIND_GRACE_SHARE * self.terms.grace
+        due = [
+            k
+            for k in sorted(self.leaving, key=self.changed_at.get)
+            if 0 < now - self.changed_at[k] < DEPARTED_LINE_TENTHS_MS
+            and self.lines[k].state in binding
+            and not any(k in t.weights for t in self.tables)
+            and (not withdrawn.get(k) or any(withdrawn[k] < p.joined_at <= late_before for p in waiting))
+        ]
+        due = due if room >= len(due) else due[: max(room, 0)] * (room >= head)  # those that left first
+        if not due or not keeping and len(due) + head > lines:
+            return False  # where it costs more than the binds it would only delay them
         orders += [gp.Withdraw(k, True) for k in due]
-        told |= dict.fromkeys(due, max(now, 1))
-        self.least = min(self.least, head, self.write(now, len(due), waiting))
-        # Who holds none of them gets no line and would not answer: what was never in the channel would count
-        # as waiting there and hold up the next shut-outs. So all are asked, where that has room too.
-        others = [p for k, p in self.behind.items() if k not in self.waiting]
-        asked = self.queue + head * len(others) <= ROOM[0] * self.terms.queue_limit and not any(
-            self.too_soon(now, 0, table) for table in self.tables)
-        self.write(now, 0, others if asked else [])
-        return asked
-
-    def fits(self, now, changes, table):  # how many may go now, most urgent first, by pace, queue and cap
-        fit, head, users, limit = 0, self.terms.head_lines + 1, len(table.users), self.terms.queue_limit
+        withdrawn |= dict.fromkeys(due, max(now, 1))
+        self.shortest_message = min(self.shortest_message, head, self.write(now, len(due), waiting))
+        # A proxy that holds none of these lines gets no message and would acknowledge nothing: lines that
+        # were never in the channel would count in the queue and delay the next withdrawals. So all proxies
+        # are asked to acknowledge, if the queue has room for that as well.
+        others = [p for k, p in self.channel_proxies.items() if k not in self.unbound_proxies]
+        ask_all = (
+            self.queue + head * len(others) <= PUSH_QUEUE_SHARES[0] * self.terms.queue_limit
+            and not any(self.push_blocked(now, 0, table) for table in self.tables))
+        self.write(now, 0, others if ask_all else [])
+        return ask_all
+
+    def fitting_changes(self, now, changes, table):
+        """How many of the sorted changes may be ordered now, by push interval, queue and message cap."""
+        fit, head, users, limit = (
+            0, self.terms.head_lines + 1, len(table.channel_proxies), self.terms.queue_limit
+        )
         for urgency in range(3):
             upto = sum(c[0] <= urgency for c in changes)
-            if upto <= fit or self.too_soon(now, urgency, table):
+            if upto <= fit or self.push_blocked(now, urgency, table):
                 continue
             fit = fit if users else upto
-            if users and (fit or self.queue <= START[urgency] * self.terms.channel_lines):
-                most = MOST * self.terms.channel_lines if urgency else limit
-                room = int((min(ROOM[urgency] * limit, most) - self.queue) / users - head)
-                # Part of them only where lines outweigh heads: else the heads would fill the channel.
+            if users and (fit or self.queue <= PUSH_START_QUEUE_S[urgency] * self.terms.channel_lines):
+                most = PUSH_MAX_QUEUE_S * self.terms.channel_lines if urgency else limit
+                room = int((min(PUSH_QUEUE_SHARES[urgency] * limit, most) - self.queue) / users - head)
+                # A part of them only if its lines outweigh the heads, which would otherwise fill the channel.
                 fit = upto if room >= upto else max(fit, room * (room >= head or urgency == 2))
         return fit
 
-    def too_soon(self, now, urgency, table):
+    def push_blocked(self, now, urgency, table):
+        """Whether a push of this urgency to a table is too soon after the last, or near the message cap."""
         cap, since = self.terms.message_cap, now - self.terms.message_span - SECOND
-        full = cap and any(p.told(since) >= CAPPED[urgency] * cap - 1 for p in table.users.values())
-        return full or now - table.pushed_at[urgency] < PACE[urgency]
+        capped = cap and any(
+            p.messages_since(since) >= MESSAGE_CAP_SHARES[urgency] * cap - 1
+            for p in table.channel_proxies.values())
+        return capped or now - table.pushed_at[urgency] < PUSH_INTERVALS_TENTHS_MS[urgency]
 
     def write(self, now, lines, proxies):
-        cost, self.moved_at = lines + self.terms.head_lines + 1, self.moved_at if self.queue else now
-        proxies = [p for p in proxies if not p.aside]
-        every, since = len(proxies) * cost, now - self.terms.message_span - SECOND
-        self.queue, self.unanswered = self.queue + every, self.unanswered + every
-        self.written += every
+        """Adds a message with these lines to each proxy to the queue; returns a message's cost in lines."""
+        cost, self.queue_moved_at = (  # 1: the line that asks for an acknowledgement
+            lines + self.terms.head_lines + 1, self.queue_moved_at if self.queue else now)
+        proxies = [p for p in proxies if not p.external]
+        total, since = len(proxies) * cost, now - self.terms.message_span - SECOND
+        self.queue, self.unacknowledged = self.queue + total, self.unacknowledged + total
+        self.written_lines += total
         for proxy in proxies:
-            proxy.tell(now, since, (self.mark + 1) % 65_536, cost)
+            proxy.record_message(now, since, (self.mark + 1) % 65_536, cost)
         return cost
--- a/garnetpaddle/rehearsal/simulation.py
+++ b/garnetpaddle/rehearsal/simulation.py
@@ -303,7 +303,9 @@
 
     def sample(self, now):
         """Keeps what the plots show."""
-        weights = {k: w for table in self.brain.tables for k, w in table.laid.items()} if self.brain else {}
+        weights = (
+            {k: w for table in self.brain.tables for k, w in table.weights.items()} if self.brain else {}
+        )
         shown = {
             k: [round(weights.get(k, 0.0), 3), n.held()]
             for k, n in self.nodes.items()
--- a/garnetpaddle/state.py
+++ b/garnetpaddle/state.py
@@ -1,120 +1,150 @@
-"""What the Brain keeps of tasks, of proxies, of its tables and of answers it waits for. No decision."""
+"""The state that the Brain keeps of tasks, proxies, tables and pending acknowledgements. No decision."""
 
 import collections
 
-NEVER = -10_000  # tenths of a ms
+NEVER = -10_000  # tenths of a ms; earlier than any time of the clock
 
 
 class Task:
+    """A listed task: its share of the calls, its health and its latest load.
+
+    `share` averages 1 over the tasks of an assigner; `headroom` is 0 until its answers have been evaluated.
+    """
+
     def __init__(self, line, share, warm_after):
-        self.id, self.kind, self.zone, self.share, self.probed = line.task, line.kind, line.zone, share, "ok"
-        self.ramp_from, self.ramp_for = line.started_at, warm_after if line.started_at else 0
-        self.hold, self.holds, self.good_probes, self.heard_at, self.good_at = 0, 0, 0, NEVER, NEVER
-        self.headroom = self.failing = self.met = self.doubt = self.answers = self.busy = self.held = 0.0
-        self.out = self.trial = self.slow = self.unlisted = False
-        self.observed = self.probing = False  # anything known of it; a timer for its next probe runs
-        self.table = None  # where it has its line
-        self.forget()
+        self.id, self.kind, self.zone, self.share, self.last_probe = (
+            line.task,
+            line.kind,
+            line.zone,
+            share,
+            "ok",
+        )
+        self.ramp_from, self.ramp_time = line.started_at, warm_after if line.started_at else 0
+        self.ejected_until, self.ejections, self.probe_successes, self.reported_at, self.succeeded_at = (
+            0,
+            0,
+            0,
+            NEVER,
+            NEVER,
+        )
+        # Smoothed values: failure_share, mean_tries (per report), mean_latency. fault_evidence is the log of
+        # the odds that the task is faulty.
+        self.headroom = self.failure_share = self.mean_tries = self.fault_evidence = self.mean_latency = (
+            self.busy_share
+        ) = self.in_flight = 0.0
+        self.ejected = self.on_probation = self.slow = self.unlisted = False
+        self.observed = self.probe_scheduled = False  # observed: any report, probe or list has said something
+        self.table = None  # the table that holds its line
+        self.reset_counts()
 
     def warm(self, now):
-        return now >= self.ramp_from + self.ramp_for
+        return now >= self.ramp_from + self.ramp_time
 
-    def spent(self, failed):
-        """Time over its answers, a failed one taking so long."""
-        return self.latency + self.failures * failed
+    def total_latency(self, failure_latency):
+        """The summed latency of all counted calls, each failure counting as `failure_latency`."""
+        return self.latency + self.failures * failure_latency
 
-    def forget(self):
+    def reset_counts(self):
         self.tries, self.failures, self.latency = 0, 0, 0.0
 
-    def count(self, tries, failures, latency):
-        """Adds calls to those that the next step goes by; latency: the sum over the good ones."""
+    def add_calls(self, tries, failures, latency):
+        """Adds calls to the counts for the next adjustment; latency: the sum over the successful ones."""
         self.tries, self.failures = self.tries + tries, self.failures + failures
         self.latency += latency
 
-    def readmit(self, doubt):
-        """Lets the task back on trial, with so much doubt left."""
-        self.out, self.doubt, self.trial = False, doubt, True
-        self.forget()
+    def readmit(self, fault_evidence):
+        """Ends the ejection and puts the task on probation, with this much evidence against it left."""
+        self.ejected, self.fault_evidence, self.on_probation = False, fault_evidence, True
+        self.reset_counts()
 
-    def take_load(self, load):
-        """Takes over a load report; what it leaves out or cannot be stays as it was, or 0."""
-        self.busy = max(0.0, load.get("busy", self.busy))
-        self.held = max(0.0, load.get("in_hand", self.held))
+    def update_load(self, load):
+        """Takes over a load report; a missing or impossible value leaves the old one, or 0."""
+        self.busy_share = max(0.0, load.get("busy", self.busy_share))
+        self.in_flight = max(0.0, load.get("in_hand", self.in_flight))
 
 
 class Proxy:
-    """A proxy, or with `aside` an outside follower: it takes the same lines, but no sums are heard of it, it
-    does not fill the channel's queue, its answers don't empty that, and no step waits for one that stalls."""
+    """A proxy, or with `external` a follower outside the channel.
+
+    An external follower gets the same lines. It sends no reports, its messages and acknowledgements do not
+    count in the channel's queue, and no adjustment waits for its acknowledgement, so it may stall.
+    """
 
-    def __init__(self, now, joined, former):
+    def __init__(self, now, joined, previous):
         self.id, self.joined_at, self.rate = joined.proxy, now, max(0.1, joined.rate)
-        self.fresh, self.aside = joined.fresh, joined.aside
+        self.fresh, self.external = joined.fresh, joined.aside
         self.bound, self.table = False, None  # bound: None where that is in doubt
-        # When messages were written, and marks of those unanswered with their lines. Where it joins without
-        # having left, what was written to it may still be on its way.
-        self.messages = former.messages if former else collections.deque()
-        self.unanswered = former.unanswered if former else {}
-
-    def tell(self, now, since, mark, lines):
-        self.told(since)
-        self.messages.append(now)
-        self.unanswered[mark] = self.unanswered.get(mark, 0.0) + lines
-
-    def told(self, since):
-        """Messages written after a time; older ones are forgotten."""
-        while self.messages and self.messages[0] <= since:
-            self.messages.popleft()
-        return len(self.messages)
-
-    def waits(self):
-        return sum(self.unanswered.values())
-
-    def answered(self, upto):
-        """The lines that an answer tells to have come: its messages come in their order."""
-        past = [mark for mark in self.unanswered if (upto - mark) % 65_536 < 32_768]
-        return sum(self.unanswered.pop(mark) for mark in past)
+        # The times of messages, and the lines of each unacknowledged mark. They are kept when a proxy joins
+        # again without having left: messages to it may still be in the channel.
+        self.message_times = previous.message_times if previous else collections.deque()
+        self.unacknowledged = previous.unacknowledged if previous else {}
+
+    def record_message(self, now, since, mark, lines):
+        self.messages_since(since)
+        self.message_times.append(now)
+        self.unacknowledged[mark] = self.unacknowledged.get(mark, 0.0) + lines
+
+    def messages_since(self, since):
+        """The number of messages written after a time; earlier ones are forgotten."""
+        while self.message_times and self.message_times[0] <= since:
+            self.message_times.popleft()
+        return len(self.message_times)
+
+    def unacknowledged_lines(self):
+        return sum(self.unacknowledged.values())
+
+    def acknowledge(self, mark):
+        """The lines that an acknowledgement confirms: all up to its mark, as messages arrive in order."""
+        confirmed = [sent for sent in self.unacknowledged if (mark - sent) % 65_536 < 32_768]
+        return sum(self.unacknowledged.pop(sent) for sent in confirmed)
 
     def bind(self, bound, table):
-        """True: to a table; None: perhaps, and it counts as its user all the same; False: to none."""
+        """bound: True, to the table; None, perhaps, which counts as its user too; False, to no table."""
         if self.table:
-            self.table.users.pop(self.id, None)
-            self.table.calls -= 0.0 if self.aside else self.rate
+            self.table.channel_proxies.pop(self.id, None)
+            self.table.call_rate -= 0.0 if self.external else self.rate
         self.bound, self.table = bound, None if bound is False else table
         if self.table:
-            self.table.calls += 0.0 if self.aside else self.rate
-            if not self.aside:
-                self.table.users[self.id] = self
+            self.table.call_rate += 0.0 if self.external else self.rate
+            if not self.external:
+                self.table.channel_proxies[self.id] = self
 
 
 class Table:
+    """A weight table and the proxies bound to it through the channel.
+
+    `weights` are those ordered last: 0 where the order may be lost, infinite for a line of a task that has
+    restarted since. `pushed_at` are the times of the last pushes by urgency.
+    """
+
     def __init__(self, number, levels):
-        self.number, self.laid = number, {}  # present weights, 0 in doubt
-        self.admitted, self.levelled = levels, False  # present levels; whether any was ever ordered
-        self.pushed_at, self.users, self.calls = [NEVER] * 3, {}, 0.0  # users: proxies behind the channel
+        self.number, self.weights = number, {}
+        self.levels, self.levels_ordered = levels, False  # levels_ordered: any was ever ordered
+        self.pushed_at, self.channel_proxies, self.call_rate = [NEVER] * 3, {}, 0.0
 
-    def lay(self, task, weight):
-        """A line as it stands from now on, behind all others; weight 0: none."""
-        self.laid.pop(task, None)
+    def set_weight(self, task, weight):
+        """Sets a line and moves it behind all others; weight 0 removes it."""
+        self.weights.pop(task, None)
         if weight:
-            self.laid[task] = weight
+            self.weights[task] = weight
 
 
-class Wait:
-    """For the answers of proxies to marks; `calls` sums up what those carry who are still to answer."""
+class PushAcknowledgements:
+    """The acknowledgements that a push still waits for; `pending_calls` is the call rate of these proxies."""
 
     def __init__(self):
-        self.by, self.calls, self.all_told = {}, 0.0, False  # by: proxy -> the mark, its calls
-
-    def ask(self, proxies, mark, all_told):
-        """Once all have been told, who is told more later is not waited for."""
-        for proxy in proxies if not self.all_told else ():
-            self.calls += proxy.rate - self.by.get(proxy.id, (0, 0.0))[1]
-            self.by[proxy.id] = mark, proxy.rate
-        self.all_told = self.all_told or all_told
+        self.pending, self.pending_calls, self.complete = {}, 0.0, False  # pending: proxy -> mark, call rate
+
+    def expect(self, proxies, mark, complete):
+        """Adds proxies to wait for; once the push is complete, later messages are not waited for."""
+        for proxy in proxies if not self.complete else ():
+            self.pending_calls += proxy.rate - self.pending.get(proxy.id, (0, 0.0))[1]
+            self.pending[proxy.id] = mark, proxy.rate
+        self.complete = self.complete or complete
         return self
 
-    def heard(self, proxy, upto):
-        mark, rate = self.by.get(proxy, (None, 0.0))
-        if mark is not None and (upto - mark) % 65_536 < 32_768:
-            del self.by[proxy]
-            self.calls = self.calls - rate if self.by else 0.0
+    def acknowledge(self, proxy, mark):
+        expected, rate = self.pending.get(proxy, (None, 0.0))
+        if expected is not None and (mark - expected) % 65_536 < 32_768:
+            del self.pending[proxy]
+            self.pending_calls = self.pending_calls - rate if self.pending else 0.0
--- a/tests/helper.py
+++ b/tests/helper.py
@@ -121,7 +121,7 @@
         self.last = orders = self.brain.handle(self.now, events)
         to_all = any(isinstance(o, gp.SetLine | gp.Admit) for o in orders)
         reached = self.brain.proxies if to_all else [o.proxy for o in orders if isinstance(o, gp.Bind)]
-        reached = [p for p in reached if not self.brain.proxies[p].aside]
+        reached = [p for p in reached if not self.brain.proxies[p].external]
         for o in orders:
             match o:
                 case gp.SetLine():
@@ -137,7 +137,7 @@
                 case gp.Note():
                     shown.append(f'"{o.text}"')
                 case gp.Seal() if self.applies:
-                    asked = self.brain.behind if o.all_proxies else reached
+                    asked = self.brain.channel_proxies if o.all_proxies else reached
                     self.coming += [(self.now + 3_000, gp.Applied(p, o.mark, 3_000)) for p in asked]
                 case gp.Probe():
                     outcome = self.probes.get(o.task, "ok")
--- a/tests/test_book.py
+++ b/tests/test_book.py
@@ -164,7 +164,7 @@
             self.builder = self.builder or SnapshotBuilder()
             snapshot = self.builder.update(self.now, events, self.last)
             table = snapshot.tables.get(self.brain.tables[0].number)
-            lines = {k: round(w, 3) for k, w in self.brain.tables[0].laid.items() if w}
+            lines = {k: round(w, 3) for k, w in self.brain.tables[0].weights.items() if w}
             assert (dict(table.lines) if table else {}) == lines
 
     play = Both()
--- a/tests/test_brain.py
+++ b/tests/test_brain.py
@@ -9,7 +9,7 @@
 
 
 def laid(brain):
-    return {k: weight for table in brain.tables for k, weight in table.laid.items()}
+    return {k: weight for table in brain.tables for k, weight in table.weights.items()}
 
 
 def test_step_multiplies_by_headroom_and_sends_what_moved():
@@ -79,10 +79,10 @@
     play.run(3)
     play.hear(changes(line("b", started=2.9)))
     play.hear(*[gp.ProbeAnswered("b", 5_000, "timeout", {})] * 3)
-    play.say(f"doubt {play.brain.tasks['b'].doubt:.2f}")
+    play.say(f"doubt {play.brain.tasks['b'].fault_evidence:.2f}")
     play.now += 6_000
     play.hear(gp.ProbeAnswered("b", 5_000, "timeout", {}))
-    play.say(f"doubt {play.brain.tasks['b'].doubt:.2f}")
+    play.say(f"doubt {play.brain.tasks['b'].fault_evidence:.2f}")
     assert play.trace[-2:] == ["       -- doubt 0.00", "       -- doubt 3.22"]
 
 
@@ -97,9 +97,9 @@
     """A cold task is not to bear what it bore when it was warm until there is room for matters of health."""
     play = Play(proxies=200, channel_lines=1_000, queue_limit=40_000)
     play.run(3)
-    play.brain.queue = play.brain.unanswered = 5_000
+    play.brain.queue = play.brain.unacknowledged = 5_000
     play.hear(*told)
-    assert play.trace[-1] == "  3.0  b=0" and not any(table.laid.get("b") for table in play.brain.tables)
+    assert play.trace[-1] == "  3.0  b=0" and not any(table.weights.get("b") for table in play.brain.tables)
 
 
 @pytest.mark.parametrize("told_by", ["sums", "probes", "busy_cores"])
@@ -341,14 +341,14 @@
     play = Play(names, 40, queue_limit=4_000.0, channel_lines=200.0)
     play.say("24 tasks, 40 proxies, 200 lines a second: the whole table would take 7 s of the channel")
     for table in play.brain.tables:
-        play.say(f"table {table.number}: {len(table.laid)} lines, {len(table.users)} proxies")
+        play.say(f"table {table.number}: {len(table.weights)} lines, {len(table.channel_proxies)} proxies")
     play.run(1)
     one = play.brain.tables[1]
-    play.hear(changes(*(line(k, "draining") for k in [*one.laid][:-1])))
+    play.hear(changes(*(line(k, "draining") for k in [*one.weights][:-1])))
     play.say("of the second all but one leave: it gets lines of the largest; few others hear of it")
     play.run(4)
-    held = [k for table in play.brain.tables for k in table.laid]
-    assert sorted(held) == sorted(set(held)) and all(len(t.laid) > 1 for t in play.brain.tables)
+    held = [k for table in play.brain.tables for k in table.weights]
+    assert sorted(held) == sorted(set(held)) and all(len(t.weights) > 1 for t in play.brain.tables)
     play.matches("smaller_tables")
 
 
@@ -358,7 +358,7 @@
         play.hear(gp.ProxyJoined(p, 5.0, True, "z"))
     assert play.brain.mark == 100 and play.brain.queue == 100 * 15
     play.hear(*(gp.Applied(p, p + 1, 0) for p in range(10)))
-    assert play.brain.queue == 90 * 15 and len(play.brain.sent) == 90
+    assert play.brain.queue == 90 * 15 and len(play.brain.sent_batches) == 90
 
 
 def test_a_lost_stream_takes_its_lines_along_and_order_proves_nothing_for_a_while():
@@ -374,7 +374,7 @@
     play.hear(gp.Applied(30, mark, 0))
     play.say(f"one of these answers before the others: {play.brain.queue:.0f}")
     play.now += 110_000
-    play.brain.queue_at = play.now
+    play.brain.queue_updated_at = play.now
     play.hear(gp.Applied(31, mark, 0))
     play.say(f"long after, another: {play.brain.queue:.0f}")
     play.matches("lost_stream")
@@ -537,7 +537,7 @@
     play.run(3)
     play.sums |= {t: (10, 10, 0) for t in names[:8]}
     play.run(3)
-    assert 0 < sum(t.out for t in play.brain.tasks.values()) <= 5  # 0.3 of 18
+    assert 0 < sum(t.ejected for t in play.brain.tasks.values()) <= 5  # 0.3 of 18
 
 
 def test_probes_that_fail_end_calm_by_their_share_of_the_own_part():
@@ -546,7 +546,7 @@
     play = Play(names, 4, total=8, queue_limit=160.0, assigners=2)
     play.probes = dict.fromkeys(names[:14], "error")
     play.run(2)
-    assert play.brain.calm() < 0.5
+    assert play.brain.health() < 0.5
 
 
 def test_failures_are_held_against_what_the_median_call_meets():
@@ -561,7 +561,7 @@
 def test_a_hold_counts_periods_not_how_long_reports_take_to_go_round():
     play = Play()
     play.run(3)
-    play.brain.round = 90_000  # so many pairs that each is told of every 9 s
+    play.brain.report_round = 90_000  # so many pairs that each is told of every 9 s
     play.hear(*(gp.ProbeAnswered("a", 6_000, "timeout", {}) for _ in range(5)))
     play.run(4)
     assert [shown[7:] for shown in play.trace if "let back" in shown][0].startswith("a=")
@@ -574,17 +574,19 @@
     play.hear(changes(line("t00", "draining")))
     play.hear(changes(line("t00", started=3.0)))
     table = play.brain.tasks["t00"].table
-    play.hear(*(gp.ProxyLeft(p) for t in play.brain.tables if t is not table for p in list(t.users)))
+    play.hear(
+        *(gp.ProxyLeft(p) for t in play.brain.tables if t is not table for p in list(t.channel_proxies))
+    )
     play.run(14)
-    calls = table.calls * table.laid["t00"] / sum(table.laid.values())
-    assert 0 < calls <= 1.05 * play.brain.calls / 24
+    calls = table.call_rate * table.weights["t00"] / sum(table.weights.values())
+    assert 0 < calls <= 1.05 * play.brain.call_rate / 24
 
 
 def test_proxies_avoid_tasks_sooner_the_fewer_lines_stand_and_the_more_fail():
     play = Play("abcdefgh", 40, strikes=60)
-    assert play.brain.spread_thin("abcdefgh") and not play.brain.spread_thin("ab")
-    play.brain.usual = 0.7
-    assert not play.brain.spread_thin("abcdefgh")
+    assert play.brain.rarely_avoided("abcdefgh") and not play.brain.rarely_avoided("ab")
+    play.brain.usual_failure_share = 0.7
+    assert not play.brain.rarely_avoided("abcdefgh")
 
 
 def test_a_part_is_as_large_as_the_proxies_that_are_joined():
@@ -631,7 +633,7 @@
     play.hear(*(gp.ProxyLeft(p) for p in range(4)))
     play.sums = {t: (20, 12, 300) for t in names[:18]}
     play.run(2)
-    assert len(laid(play.brain)) == 18 and play.brain.usual > 0.3
+    assert len(laid(play.brain)) == 18 and play.brain.usual_failure_share > 0.3
 
 
 def test_calls_in_hand_end_calm_before_late_sums_tell():
@@ -742,7 +744,7 @@
     play.run(9)
     play.sums = silent | play.sums | {"f": (10, 0, 800)}
     play.run(8)
-    assert set(play.brain.covered.values()) == {play.now - 10_000} and laid(play.brain)["f"] < 0.7
+    assert set(play.brain.counted_until.values()) == {play.now - 10_000} and laid(play.brain)["f"] < 0.7
 
 
 @pytest.mark.parametrize("binds", [True, False])
@@ -755,7 +757,7 @@
         replace(play, old, f"t{n}", 2)
         kept.append({k: len(v) for k, v in vars(play.brain).items() if isinstance(v, dict | list)})
     assert all(size <= 64 for size in kept[-1].values()), kept[-1]
-    assert set(play.brain.tasks) <= set(play.brain.lines) == set(play.brain.left_at)
+    assert set(play.brain.tasks) <= set(play.brain.lines) == set(play.brain.changed_at)
 
 
 def test_weights_are_not_held_up_by_drains_one_after_the_other():
@@ -779,7 +781,7 @@
             gp.TaskSums("b", "z", 90, 90, 0.0, 10**7, {}),
         )
         other.hear()
-    assert play.trace == other.trace and play.brain.tasks["a"].doubt <= 0
+    assert play.trace == other.trace and play.brain.tasks["a"].fault_evidence <= 0
 
 
 def test_the_queue_is_believed_no_shorter_than_answers_prove():
@@ -927,7 +929,7 @@
                     for x in play.trace
                     if not x.endswith("  bind 70000")
                 ],
-                play.brain.written,
+                play.brain.written_lines,
             )
         )
     assert queues[0] == queues[1] and len(queues[0][1]) > 4
@@ -960,12 +962,12 @@
     play.hear(gp.ProxyJoined(70_000, 5.0, True, "z", aside=True))
     play.run(60)
     play.hear(*(gp.ProxyJoined(p, 20.0, True, "z") for p in range(2)))
-    assert play.brain.since == play.now and play.brain.effect["weights"] == play.now
+    assert play.brain.first_join_at == play.now and play.brain.effective_at["weights"] == play.now
 
 
 def test_parts_of_the_fleet_go_by_the_proxies_behind_the_channel():
     play = Play(tasks="abcdefgh", proxies=20, total=400, assigners=4, queue_limit=500.0)
-    before = [t.id for t in play.brain.mine]
+    before = [t.id for t in play.brain.own_tasks]
     play.hear(*(gp.ProxyJoined(70_000 + n, 5.0, True, "z", aside=True) for n in range(300)))
     play.run(0.3)
-    assert [t.id for t in play.brain.mine] == before and len(before) < 8
+    assert [t.id for t in play.brain.own_tasks] == before and len(before) < 8
--- a/tests/test_fronts.py
+++ b/tests/test_fronts.py
@@ -431,7 +431,7 @@
             await play.steps(0.5)
             await until(lambda: not play.fronts.manager.connections)
             await play.steps(3)
-            assert FIRST_FOLLOWER_NUMBER not in play.brain.proxies and play.brain.tables[0].laid
+            assert FIRST_FOLLOWER_NUMBER not in play.brain.proxies and play.brain.tables[0].weights
             await until(lambda: any("connect:" in x for x in client.log))
             assert by_port(client)  # what it was told stands
 
--- a/tests/test_rehearsal.py
+++ b/tests/test_rehearsal.py
@@ -426,13 +426,13 @@
     """A Brain that is deaf to the list keeps sending to a node that drains."""
     from garnetpaddle.brain import Brain
 
-    heard = Brain.heard_list
+    heard = Brain.on_task_list
 
     def deaf(self, now, event):
         if event.form == "stale":
             heard(self, now, event)
 
-    monkeypatch.setitem(Brain.READ, gp.ListHeard, deaf)
+    monkeypatch.setitem(Brain.HANDLERS, gp.ListHeard, deaf)
     result = Simulation(script(tmp_path, trouble("d", "drain", 4, 15, nodes='["near-1"]'))).run()
     assert [b.rule for b in result.violations] == ["drain"] and result.violations[0].orders
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -173,9 +173,9 @@
     play.join()
     play.run(2.0)
     assert play.turns == 3 + 20 + 2  # two lists and the joins, beats, reports
-    assert len(play.brain.mine) == len(play.table) == PARTED.tasks // PARTED.assigners
+    assert len(play.brain.own_tasks) == len(play.table) == PARTED.tasks // PARTED.assigners
     assert {event.task for _, event in play.coming if hasattr(event, "task")} <= {
-        x.id for x in play.brain.mine
+        x.id for x in play.brain.own_tasks
     }
 
 
--- a/tests/test_short_days.py
+++ b/tests/test_short_days.py
@@ -32,7 +32,7 @@
 from test_net import Address, ending, patient  # noqa: F401
 
 from garnetpaddle import interface as gp
-from garnetpaddle.brain import COLD_PART, HEIR
+from garnetpaddle.brain import COLD_CAPACITY_SHARE, INHERITED_TABLES_TENTHS_MS
 from garnetpaddle.net import http as client
 from garnetpaddle.net import listener
 from garnetpaddle.net.event_subscription import EventSubscription
@@ -405,7 +405,7 @@
         capacity = (TERMS.start_share + (1 - TERMS.start_share) * min(age, 1)) * self.calls / TASKS
         loads = collections.Counter()
         for play, count, rate in zip(self.plays, self.proxies, self.rates, strict=True):
-            laid = {task: weight for table in play.brain.tables for task, weight in table.laid.items()}
+            laid = {task: weight for table in play.brain.tables for task, weight in table.weights.items()}
             for task, weight in laid.items():
                 loads[task] += count * rate * weight / sum(laid.values())
         self.used.append((loads, TERMS.fall_multiple * capacity))
@@ -426,7 +426,7 @@
         most = max(most, fleet.part_of_budget())
     print(f"{cold} of {TASKS} cold: at most {most:.2f} of the budget")
     # While a warm task is there, a part is kept for bursts; alone, cold ones get all calls there are.
-    assert most <= (COLD_PART if cold < TASKS else 1.0) + 0.01
+    assert most <= (COLD_CAPACITY_SHARE if cold < TASKS else 1.0) + 0.01
     assert sorted(carried) == sorted(fleet.plays[0].brain.tasks)  # all stand again
 
 
@@ -469,16 +469,31 @@
 
 def size_of(brain):
     """Entries in whatever the Brain keeps: its own collections, and its tables' and tasks'."""
-    parts = [brain.due, brain.sent, brain.pending, brain.covered, brain.left_at, brain.lines, brain.tasks]
-    parts += [brain.proxies, brain.behind, brain.waiting, brain.withdrawn, brain.awaited, brain.notes]
-    parts += [table.laid for table in brain.tables] + [brain.tables]
+    parts = [
+        brain.timers,
+        brain.sent_batches,
+        brain.pending_sums,
+        brain.counted_until,
+        brain.changed_at,
+        brain.lines,
+        brain.tasks,
+    ]
+    parts += [
+        brain.proxies,
+        brain.channel_proxies,
+        brain.unbound_proxies,
+        brain.withdrawn,
+        brain.awaited,
+        brain.notes,
+    ]
+    parts += [table.weights for table in brain.tables] + [brain.tables]
     return sum(map(len, parts))
 
 
 @pytest.mark.parametrize("fresh", [True, False])
 def test_whose_proxies_all_leave_and_come_back_are_served_again_and_nothing_piles_up(fresh):
     """Who holds no table is bound in the same turn; who holds one keeps it as after a start, 6 s at most."""
-    play, kept, seconds = Play("abcd", 3), [], 0.0 if fresh else HEIR / 10_000
+    play, kept, seconds = Play("abcd", 3), [], 0.0 if fresh else INHERITED_TABLES_TENTHS_MS / 10_000
     for _ in range(100):
         play.run(0.5)
         play.hear(*(gp.ProxyLeft(proxy) for proxy in range(3)))
--- a/tests/test_task_registry.py
+++ b/tests/test_task_registry.py
@@ -27,17 +27,17 @@
     registry = TaskRegistry()
     for name in names:
         registry.register(Task(line(name), 1.0, 0))
-        registry.put(0, line(name))
+        registry.update_line(0, line(name))
     return registry
 
 
 def test_ready_tasks_keep_the_order_in_which_they_were_first_named():
     registry = registered("bca")
     assert ids(registry.ready()) == "bca"
-    registry.put(1, line("c", "draining"))
+    registry.update_line(1, line("c", "draining"))
     assert ids(registry.ready()) == "ba" and list(registry.leaving) == ["c"]
     registry.register(Task(line("c", started=1), 1.0, 0))
-    registry.put(2, line("c", started=1))
+    registry.update_line(2, line("c", started=1))
     assert ids(registry.ready()) == "bca" and not registry.leaving and registry.changed_at["c"] == 2
 
 
@@ -46,7 +46,7 @@
     first = registry.ready()
     registry.observe(registry.tasks["b"])
     assert registry.ready() is first
-    registry.put(1, line("a", "gone"))
+    registry.update_line(1, line("a", "gone"))
     assert registry.ready() is not first
 
 
@@ -56,12 +56,12 @@
     for name in "ca":
         registry.observe(registry.tasks[name])
     assert ids(registry.observed()) == "ac"
-    registry.drop(3, "b")
+    registry.mark_unlisted(3, "b")
     assert (
         ids(registry.observed()) == "abc" and list(registry.leaving) == ["b"] and registry.tasks["b"].unlisted
     )
-    registry.put(4, line("a", "draining"))
-    registry.forget("a")
+    registry.update_line(4, line("a", "draining"))
+    registry.remove("a")
     assert ids(registry.observed()) == "bc" and set(registry.tasks) == set(registry.lines) == {"b", "c"}
     assert list(registry.leaving) == ["b"]
 
@@ -70,7 +70,7 @@
     registry = registered("ab")
     registry.observe(registry.tasks["a"])
     registry.register(Task(line("a", started=5), 1.0, 0))
-    registry.put(1, line("a", started=5))
+    registry.update_line(1, line("a", started=5))
     assert registry.observed() == []
 
 
@@ -79,7 +79,7 @@
     for name, kind, share, headroom in (("a", "m", 1.5, 1.0), ("b", "s", 0.5, 1.0), ("c", "s", 9.0, 0.0)):
         registry.register(Task(line(name, kind=kind), share, 0))
         registry.tasks[name].headroom = headroom
-        registry.put(0, line(name, kind=kind))
+        registry.update_line(0, line(name, kind=kind))
     assert registry.shares() == {"m": [1.5], "s": [0.5]}
 
 
@@ -132,10 +132,12 @@
 
 CHANGES = {
     "nothing": lambda assigner: (),
-    "a report": lambda assigner: (gp.TaskSums(assigner.brain.mine[0].id, "z", 10, 0, 200.0, 10_000, {}),),
+    "a report": lambda assigner: (
+        gp.TaskSums(assigner.brain.own_tasks[0].id, "z", 10, 0, 200.0, 10_000, {}),
+    ),
     "an answer": lambda assigner: (gp.Applied(0, assigner.brain.mark, 500),),
     "a join": lambda assigner: (gp.ProxyJoined(0, 5.0, True, "z"),),
-    "a probe": lambda assigner: (gp.ProbeAnswered(assigner.brain.mine[0].id, 500, "ok", {}),),
+    "a probe": lambda assigner: (gp.ProbeAnswered(assigner.brain.own_tasks[0].id, 500, "ok", {}),),
 }
 
 
@@ -145,7 +147,7 @@
     work = {}
     for tasks in (100, 4_000):
         assigner = Assigner(tasks)
-        assert len(assigner.brain.mine) == PROBED
+        assert len(assigner.brain.own_tasks) == PROBED
         events = CHANGES[change](assigner)
         work[tasks] = sum(steps_of(functools.partial(assigner.beat, *events)) for _ in range(10))
     assert work[4_000] < 1.5 * work[100], work
@@ -153,13 +155,13 @@
 
 def test_only_tasks_of_the_own_part_are_probed_and_keep_a_timer():
     assigner = Assigner(4_000)
-    probed = [act for _, _, act, _ in assigner.brain.due if act is Brain.probe]
+    probed = [act for _, _, act, _ in assigner.brain.timers if act is Brain.probe]
     assert len(probed) == PROBED
-    assigner.beat(gp.ListHeard("changes", (line(assigner.brain.mine[0].id, "draining"),)))
+    assigner.beat(gp.ListHeard("changes", (line(assigner.brain.own_tasks[0].id, "draining"),)))
     for _ in range(12):
         assigner.beat()
-    probed = [task.id for _, _, act, task in assigner.brain.due if act is Brain.probe]
-    assert sorted(probed) == sorted(task.id for task in assigner.brain.mine)
+    probed = [task.id for _, _, act, task in assigner.brain.timers if act is Brain.probe]
+    assert sorted(probed) == sorted(task.id for task in assigner.brain.own_tasks)
 
 
 def test_hearing_a_whole_list_costs_by_its_length():
@@ -200,9 +202,9 @@
         ready = [task for name, task in brain.tasks.items() if state[name] == "ready"]
         assert registry.ready() == ready
         assert registry.observed() == [task for task in ready if task.observed]
-        assert all(task.observed for task in ready if task.out or task.doubt or task.unlisted)
+        assert all(task.observed for task in ready if task.ejected or task.fault_evidence or task.unlisted)
         assert (
             {name for name, said in state.items() if said != "ready"} <= set(registry.leaving) <= set(state)
         )
         assert all(brain.tasks[name].observed for name in registry.leaving if state[name] == "ready")
-        assert set(brain.tasks) <= set(brain.lines) == set(brain.left_at)
+        assert set(brain.tasks) <= set(brain.lines) == set(brain.changed_at)
