--- a/garnetpaddle/brain.py
+++ b/garnetpaddle/brain.py
@@ -1,6 +1,6 @@
 """The decisions of one assigner: all of them, and nothing else. No clock, no I/O; docs/design.md says why.
 
-    orders = Brain(terms, seed).handle(now, events)  # garnetpaddle/interface; now in tenths of a ms
+`orders = Brain(terms, seed).handle(now, events)`, with types of garnetpaddle/interface, now in tenths of a ms
 """
 
 import dataclasses
@@ -100,7 +100,9 @@
 
     def __init__(self, terms, seed):
         self.terms, self.probe_timeout = (
-            terms, int(PROBE_TIMEOUT_SLO_RATIO * min(r.slo_time for r in terms.routes)))
+            terms,
+            int(PROBE_TIMEOUT_SLO_RATIO * min(r.slo_time for r in terms.routes)),
+        )
         self.uniform, self.open_level = random.Random(seed).uniform, OPEN_LEVELS.get(terms.level_kind, 1.0)
         self.registry = registry = TaskRegistry()
         self.tasks, self.lines, self.changed_at = registry.tasks, registry.lines, registry.changed_at
@@ -118,14 +120,25 @@
         # from the order of messages. sent_batches: mark -> [lines known to have left the channel when a proxy
         # acknowledges it, lines of its shortest message, lines written up to its end].
         self.queue, self.unacknowledged, self.written_lines, self.sent_batches, self.shortest_message = (
-            0.0, 0.0, 0.0, {}, 0.0)
+            0.0,
+            0.0,
+            0.0,
+            {},
+            0.0,
+        )
         # When the last push of each kind took effect (0: not yet), and the acknowledgements that it waits for
         self.mark, self.effective_at, self.awaited = 0, {"weights": 0, "levels": 0}, {}
         self.queue_updated_at = self.in_order_from = self.rebalanced_at = 0
         self.next_tick_at = self.subscribe_failures = self.sums_at = self.first_join_at = (
-            self.report_delay) = self.queue_moved_at = 0
-        (self.admitted_share, self.usual_in_flight, self.usual_failure_share,
-         self.route_levels, self.route_calls) = 1.0, 1.0, 0.0, {}, {}
+            self.report_delay
+        ) = self.queue_moved_at = 0
+        (
+            self.admitted_share,
+            self.usual_in_flight,
+            self.usual_failure_share,
+            self.route_levels,
+            self.route_calls,
+        ) = 1.0, 1.0, 0.0, {}, {}
         self.mean_size, self.retries_stopped, self.report_round = 0.0, False, terms.report_period
         # The most tasks that were ever ready; this assigner's part of the ready tasks
         self.fleet_size, self.own_tasks, self.own_ids, self.part_size = 1, [], frozenset(), 0.0
@@ -157,7 +170,8 @@
         if event.form == "lost":
             # The backoff is randomised so that not all assigners subscribe at once.
             wait = (
-                RESUBSCRIBE_BACKOFF_TENTHS_MS * 2 ** min(self.subscribe_failures, 5) * self.uniform(0.7, 1.3))
+                RESUBSCRIBE_BACKOFF_TENTHS_MS * 2 ** min(self.subscribe_failures, 5) * self.uniform(0.7, 1.3)
+            )
             self.subscribe_failures += 1
             return self.schedule(now + int(min(wait, self.terms.must_ask_in / 2)), Brain.subscribe)
         self.subscribe_failures *= event.form == "stale"
@@ -195,8 +209,11 @@
         """Forgets tasks that left so long ago that no proxy can hold their lines any more."""
         for k in list(self.leaving):
             gone = self.lines[k].state != "ready" or self.tasks[k].unlisted and self.tasks[k].ejected
-            if gone and now - self.changed_at[k] >= DEPARTED_LINE_TENTHS_MS and not any(
-                    k in t.weights for t in self.tables):
+            if (
+                gone
+                and now - self.changed_at[k] >= DEPARTED_LINE_TENTHS_MS
+                and not any(k in t.weights for t in self.tables)
+            ):
                 orders += [gp.Withdraw(k, False)] * (self.withdrawn.pop(k, None) is not None)
                 self.registry.remove(k)
 
@@ -247,14 +264,17 @@
                 if now >= self.in_order_from:
                     self.queue = max(0.0, min(self.queue, self.written_lines - batch[0]))
             while self.sent_batches and (
-                    next(iter(self.sent_batches.values()))[2] <= self.written_lines - self.queue):
+                next(iter(self.sent_batches.values()))[2] <= self.written_lines - self.queue
+            ):
                 del self.sent_batches[next(iter(self.sent_batches))]  # it has left the channel as a whole
         self.update_effective(now, event.proxy, event.mark)
 
     def acknowledge(self, now, proxy, mark):
         """Takes what a proxy has confirmed, all its messages up to a mark, off the queue's upper bound."""
         self.unacknowledged, self.queue_moved_at = (
-            max(0.0, self.unacknowledged - proxy.acknowledge(mark)), now)
+            max(0.0, self.unacknowledged - proxy.acknowledge(mark)),
+            now,
+        )
         self.queue = min(self.queue, self.unacknowledged)
 
     def on_orders_lost(self, now, event):
@@ -275,7 +295,9 @@
                     self.sent_batches.pop(mark, None)
                     unsent = sum(p.unacknowledged.pop(mark, 0.0) for p in self.channel_proxies.values())
                     self.queue, self.unacknowledged = (
-                        max(0.0, self.queue - unsent), self.unacknowledged - unsent)
+                        max(0.0, self.queue - unsent),
+                        self.unacknowledged - unsent,
+                    )
 
     def on_orders_in_doubt(self, now, event):
         """Starts a new table that nobody is bound to, as all earlier orders may be lost."""
@@ -310,7 +332,9 @@
         until = min(int(statistics.median(ends)) if ends else now - self.report_delay, now)
         kept = {pair: at for pair, at in self.counted_until.items() if pair[0] in self.tasks}
         self.report_delay, self.counted_until = (
-            now - until, kept | {(e.task, e.zone): until for e in self.pending_sums})
+            now - until,
+            kept | {(e.task, e.zone): until for e in self.pending_sums},
+        )
         return until
 
     def evaluate_sums(self, now):
@@ -322,31 +346,41 @@
         sums_by_task, level_sums = {}, [0, 0, 0.0]  # level_sums: measured mostly at the present levels
         for event in self.pending_sums:
             task, good = self.tasks.get(event.task), event.tries - event.failures
-            if not task or min(event.span, event.tries) <= 0 or until - event.span < task.ramp_from or (
-                    good < 0 or good and not 0 < event.latency < math.inf):
+            if (
+                not task
+                or min(event.span, event.tries) <= 0
+                or until - event.span < task.ramp_from
+                or (good < 0 or good and not 0 < event.latency < math.inf)
+            ):
                 continue  # no calls, impossible values, or from before the task's restart
             # Without good answers the reported latency has no meaning.
             sums = event.tries, event.failures, good and good * event.latency
             sums_by_task[event.task] = [
-                a + b for a, b in zip(sums_by_task.get(event.task, (0, 0, 0.0)), sums, strict=True)]
+                a + b for a, b in zip(sums_by_task.get(event.task, (0, 0, 0.0)), sums, strict=True)
+            ]
             task.update_load(event.load)
             if 0 < self.effective_at["weights"] <= until - event.span:
                 task.add_calls(*sums)
             if 0 < self.effective_at["levels"] <= until - event.span / 2:
                 level_sums = [a + b for a, b in zip(level_sums, sums, strict=True)]
-        judged = [(self.tasks[name], *sums) for name, sums in sums_by_task.items()
-                  if self.update_statistics(now, name, *sums)]
+        judged = [
+            (self.tasks[name], *sums)
+            for name, sums in sums_by_task.items()
+            if self.update_statistics(now, name, *sums)
+        ]
         self.usual_failure_share = self.median_failure_share(now)
         for task, tries, failures, _ in judged:
             self.update_evidence(task, failures, tries - failures, self.usual_failure_share)
         if self.usual_failure_share < NO_RETRY_FAILURE_SHARE:
             self.usual_in_flight *= 1 + SMOOTHING_FACTOR * (
-                max(self.backlog() * BACKLOG_RATIO, 1 / self.usual_in_flight) - 1)
+                max(self.backlog() * BACKLOG_RATIO, 1 / self.usual_in_flight) - 1
+            )
         if level_sums[0] and self.terms.level_kind == "fraction":
             self.update_levels(*level_sums)
         tasks, self.pending_sums = [t for t in self.own_tasks if not t.ejected], []
         if tasks and sum(t.tries for t in tasks) >= (
-                MIN_ANSWERS_PER_TASK[any(t.headroom for t in tasks)] * len(tasks)):
+            MIN_ANSWERS_PER_TASK[any(t.headroom for t in tasks)] * len(tasks)
+        ):
             self.update_shares(tasks)
 
     def update_statistics(self, now, name, tries, failures, latency):
@@ -358,13 +392,18 @@
         task, good = self.tasks[name], tries - failures
         self.registry.observe(task)
         task.reported_at, task.mean_tries = (
-            now, task.mean_tries + SMOOTHING_FACTOR * (tries - task.mean_tries))
+            now,
+            task.mean_tries + SMOOTHING_FACTOR * (tries - task.mean_tries),
+        )
         task.failure_share += tries / (tries + PRIOR_ANSWERS) * (failures / tries - task.failure_share)
         if good:
             task.mean_latency, task.succeeded_at = (
-                (task.mean_latency or latency / good) / 2 + latency / good / 2, now)
+                (task.mean_latency or latency / good) / 2 + latency / good / 2,
+                now,
+            )
         task.slow = now - task.succeeded_at < REPORT_VALID_ROUNDS * self.report_round and (
-            task.mean_latency > 2 * self.median_latency(task.kind))
+            task.mean_latency > 2 * self.median_latency(task.kind)
+        )
         return not task.slow
 
     def median_latency(self, kind):
@@ -375,8 +414,11 @@
     def median_failure_share(self, now):
         """The failure share that the median call met lately: a few bad tasks leave it near zero, an overload
         does not."""
-        recent = sorted((t.failure_share, t.mean_tries) for t in self.observed()
-                        if now - t.reported_at < REPORT_VALID_ROUNDS * self.report_round)
+        recent = sorted(
+            (t.failure_share, t.mean_tries)
+            for t in self.observed()
+            if now - t.reported_at < REPORT_VALID_ROUNDS * self.report_round
+        )
         upto = list(itertools.accumulate(calls for _, calls in recent))
         return next((failing for (failing, _), c in zip(recent, upto, strict=True) if 2 * c >= upto[-1]), 0.0)
 
@@ -391,24 +433,32 @@
         task.unlisted = task.unlisted and not ok  # the list dropped it, but it answers
         if not task.ejected and not (task.slow and event.outcome != "error"):
             self.update_evidence(
-                task, int(not ok), int(ok), self.failing_probe_share() * (event.outcome != UNREACHABLE))
+                task, int(not ok), int(ok), self.failing_probe_share() * (event.outcome != UNREACHABLE)
+            )
         task.last_probe = event.outcome
 
     def update_evidence(self, task, failures, good, usual):
         """Wald's sequential test: does the task fail as a faulty one does, or as is usual at present?"""
         usual = min(max(usual, 0.02), 0.8)
         faulty = max(FAULTY_FAILURE_SHARE, 0.4 * usual + 0.6 * (usual > 0.1))
-        task.fault_evidence += (
-            failures * math.log(faulty / usual) + good * math.log((1 - faulty) / (1 - usual)))
+        task.fault_evidence += failures * math.log(faulty / usual) + good * math.log(
+            (1 - faulty) / (1 - usual)
+        )
         task.fault_evidence = min(max(task.fault_evidence, -MAX_GOOD_EVIDENCE), 2 * EJECTION_EVIDENCE)
 
     def on_route_sums(self, now, event):
         self.route_calls[event.route] = self.route_calls.get(event.route, 0) + event.calls
 
     HANDLERS = {
-        gp.ListHeard: on_task_list, gp.ProxyJoined: on_proxy_joined, gp.ProxyLeft: on_proxy_left,
-        gp.Applied: on_applied, gp.OrdersLost: on_orders_lost, gp.OrdersInDoubt: on_orders_in_doubt,
-        gp.TaskSums: on_task_sums, gp.RouteSums: on_route_sums, gp.ProbeAnswered: on_probe_answered,
+        gp.ListHeard: on_task_list,
+        gp.ProxyJoined: on_proxy_joined,
+        gp.ProxyLeft: on_proxy_left,
+        gp.Applied: on_applied,
+        gp.OrdersLost: on_orders_lost,
+        gp.OrdersInDoubt: on_orders_in_doubt,
+        gp.TaskSums: on_task_sums,
+        gp.RouteSums: on_route_sums,
+        gp.ProbeAnswered: on_probe_answered,
         gp.TimerDue: lambda *_: None,
     }
 
@@ -420,7 +470,9 @@
             suspected = task.ejected or task.fault_evidence > EJECTION_EVIDENCE / 3
             self.schedule(
                 now + (SUSPECT_PROBE_INTERVAL_TENTHS_MS if suspected else PROBE_INTERVAL_TENTHS_MS),
-                Brain.probe, task)
+                Brain.probe,
+                task,
+            )
 
     def update_shares(self, tasks):
         """Multiplies each share by its task's smoothed headroom within bounds, then normalises the shares."""
@@ -431,8 +483,9 @@
         kinds = {kind: [t for t in tasks if t.kind == kind] for kind in sorted({t.kind for t in tasks})}
         # Before the first step, while proxies still follow tables ordered before this start, the calls that a
         # task gets show its share there.
-        for same in kinds.values() if any(
-                not (p.bound or p.fresh) for p in self.channel_proxies.values()) else ():
+        for same in (
+            kinds.values() if any(not (p.bound or p.fresh) for p in self.channel_proxies.values()) else ()
+        ):
             mean = statistics.fmean(t.tries for t in same)
             for t in same if not any(t.headroom for t in tasks) else ():
                 t.share = max(mean * (t.tries + PRIOR_ANSWERS) / (mean + PRIOR_ANSWERS), 1.0)
@@ -471,8 +524,11 @@
         if late:
             # Never admit more: where cores are idle, the tasks wait for something that they share.
             pressure = max(pressure * LATE_PRESSURE_RATIO, self.backlog(), 1.0)
-        self.admitted_share = min(self.admitted_share * min(
-            max(1 / max(pressure, 0.1), MAX_ADMISSION_DECREASE_RATIO), MAX_ADMISSION_INCREASE_RATIO), 1.0)
+        self.admitted_share = min(
+            self.admitted_share
+            * min(max(1 / max(pressure, 0.1), MAX_ADMISSION_DECREASE_RATIO), MAX_ADMISSION_INCREASE_RATIO),
+            1.0,
+        )
         work = {k: max(self.route_calls.get(k, 1), 1) * r.slo_time for k, r in enumerate(self.terms.routes)}
         cut, total_work = 1 - self.admitted_share, sum(work.values())
         for k in sorted(work, key=lambda k: self.terms.routes[k].importance / self.terms.routes[k].slo_time):
@@ -488,18 +544,25 @@
         """
         lost = [t for t in known if t.last_probe == UNREACHABLE and t.reported_at > t.succeeded_at]
         lost = lost * (len(lost) <= MAX_UNREACHABLE_SHARE * len(self.ready())) + [
-            t for t in known if t.unlisted]
+            t for t in known if t.unlisted
+        ]
         for t in known:
             t.on_probation = t.on_probation and t.fault_evidence > 0
-            if t.ejected and now >= t.ejected_until and (
-                    t.probe_successes >= 2 or not self.terms.probes_allowed):
+            if (
+                t.ejected
+                and now >= t.ejected_until
+                and (t.probe_successes >= 2 or not self.terms.probes_allowed)
+            ):
                 t.readmit(EJECTION_EVIDENCE / 2)
                 self.notes.append(f"{t.id} is let back on trial")
         ejected = sum(t.share for t in self.own_tasks if (t.ejected or t.on_probation) and t not in lost)
         limit = MAX_EJECTED_SHARE * self.health() * sum(t.share for t in self.own_tasks)
         for t in sorted(known, key=lambda t: -t.fault_evidence):
-            if not t.ejected and t.fault_evidence >= EJECTION_EVIDENCE and (
-                    t in lost or ejected + t.share <= limit):
+            if (
+                not t.ejected
+                and t.fault_evidence >= EJECTION_EVIDENCE
+                and (t in lost or ejected + t.share <= limit)
+            ):
                 ejected += t.share * (t not in lost)
                 t.ejected_until = now + min(
                     MIN_EJECTION_PERIODS * 2**t.ejections, MAX_EJECTION_PERIODS
@@ -521,14 +584,17 @@
         """The calls in flight at the median task; 1: BACKLOG_RATIO times as many as usual."""
         return (
             statistics.median([t.in_flight for t in self.own_tasks] or [0.0])
-            / self.usual_in_flight / BACKLOG_RATIO)
+            / self.usual_in_flight
+            / BACKLOG_RATIO
+        )
 
     def failing_probe_share(self):
         return statistics.fmean([t.last_probe != "ok" for t in self.own_tasks if not t.ejected] or [0.0])
 
     def busy_share(self):
         return statistics.fmean(
-            [t.busy_share for t in self.observed() if t.busy_share and not t.ejected] or [0.0])
+            [t.busy_share for t in self.observed() if t.busy_share and not t.ejected] or [0.0]
+        )
 
     def wanted_lines(self, now):
         """The lines that should stand: table -> task -> weight, the average share being 1."""
@@ -542,12 +608,16 @@
         assigned, health = self.assign_to_tables(now, self.own_tasks), self.health()
         unfailing = 1 - max(self.usual_failure_share, self.failing_probe_share(), self.backlog() - 1)
         # The calls of a task while the whole fleet is ready, and what each ready task gets in such units now
-        task_calls = max(self.call_rate, 0.1) * max(
-            self.terms.proxies / max(len(self.channel_proxies), 1), 1) / self.fleet_size
+        task_calls = (
+            max(self.call_rate, 0.1)
+            * max(self.terms.proxies / max(len(self.channel_proxies), 1), 1)
+            / self.fleet_size
+        )
         even = self.fleet_size / max(len(ready), 1)
         return {
             t: self.table_lines(
-                now, tasks, max(t.call_rate / task_calls, even * len(tasks)), health, unfailing)
+                now, tasks, max(t.call_rate / task_calls, even * len(tasks)), health, unfailing
+            )
             for t, tasks in assigned.items()
         }
 
@@ -571,11 +641,13 @@
             interval = 0 if few and not weak.channel_proxies else PUSH_INTERVALS_TENTHS_MS[1 if few else 2]
             needed = few or (
                 2 * strength[weak] < strength[strong]
-                and self.queue <= PUSH_START_QUEUE_S[2] * terms.channel_lines)
+                and self.queue <= PUSH_START_QUEUE_S[2] * terms.channel_lines
+            )
             if needed and now - self.rebalanced_at >= interval:
                 self.rebalanced_at = now if weak.channel_proxies else self.rebalanced_at
                 for task in healthy[strong][
-                        len(healthy[strong]) - min(MIN_TABLE_LINES, len(healthy[strong]) // 2):]:
+                    len(healthy[strong]) - min(MIN_TABLE_LINES, len(healthy[strong]) // 2) :
+                ]:
                     task.table = weak
                     for tasks in assigned, healthy:
                         tasks[strong].remove(task)
@@ -592,7 +664,8 @@
         tasks = [t for t in assigned if not t.ejected]
         if not any(t.warm(now) for t in tasks):  # a failing task is better than none: keep the least suspect
             tasks += sorted(
-                (t for t in assigned if t.ejected and t.warm(now)), key=lambda t: t.fault_evidence)[:1]
+                (t for t in assigned if t.ejected and t.warm(now)), key=lambda t: t.fault_evidence
+            )[:1]
         warm = {
             t.id: min(t.share, PROBATION_SHARE_RATIO) if t.on_probation else t.share
             for t in tasks
@@ -600,10 +673,12 @@
         }
         health = max(
             health**2 * (health > MIN_HEALTH_FOR_COLD) if warm else 1.0,
-            unfailing if self.rarely_avoided(warm) else 0.0)
+            unfailing if self.rarely_avoided(warm) else 0.0,
+        )
         capacity = {t: self.cold_capacity(now, t) for t in tasks if not t.warm(now)}
         enough = warm or (
-            sum(t.share * part for t, part in capacity.items()) >= COLD_ONLY_CAPACITY_SHARE * load)
+            sum(t.share * part for t, part in capacity.items()) >= COLD_ONLY_CAPACITY_SHARE * load
+        )
         cold = {t.id: health * t.share * min(part, 1.0) / load for t, part in capacity.items() if enough}
         cold_part = sum(cold.values())
         total = sum(warm.values()) / (1 - min(cold_part, 0.9)) if warm else load
@@ -616,7 +691,10 @@
         shrinks. Assigners cut it from the same circular order, each from its own place.
         """
         terms, even, size = (
-            self.terms, 1 / self.terms.assigners, len(self.channel_proxies) / self.terms.proxies)
+            self.terms,
+            1 / self.terms.assigners,
+            len(self.channel_proxies) / self.terms.proxies,
+        )
         self.part_size = size = max(size, even, self.part_size * (len(self.tables) > 1))
         whole = terms.proxies * even * (self.fleet_size + terms.head_lines)
         if whole <= min(terms.queue_limit, MAX_BIND_ALL_S * terms.channel_lines) or size >= 1:
@@ -624,16 +702,22 @@
         if self.task_order[0] is not ready:
             named, cut = sorted(ready, key=lambda t: t.id), round(len(ready) * terms.rank / terms.assigners)
             own_zone_first = terms.homed and terms.assigners >= terms.zones
-            self.task_order = ready, sorted(
-                named[cut:] + named[:cut], key=lambda t: own_zone_first and t.zone != terms.zone)
+            self.task_order = (
+                ready,
+                sorted(named[cut:] + named[:cut], key=lambda t: own_zone_first and t.zone != terms.zone),
+            )
         part = self.task_order[1][: math.ceil(len(ready) * size)]
         return part if any(t.warm(now) and not t.ejected for t in part) else ready
 
     def rarely_avoided(self, lines):
         """Whether a proxy meets each task too seldom to avoid any, so that no others get crowded for it."""
         # The calls of a proxy to each task, with the further tries of those that fail
-        calls = self.call_rate / max(len(self.channel_proxies), 1) / max(len(lines), 1) / (
-            1.001 - self.usual_failure_share)
+        calls = (
+            self.call_rate
+            / max(len(self.channel_proxies), 1)
+            / max(len(lines), 1)
+            / (1.001 - self.usual_failure_share)
+        )
         return not self.terms.strikes or self.terms.strikes / max(calls, 0.001) > SLOW_AVOIDANCE_S
 
     def cold_capacity(self, now, task):
@@ -646,9 +730,12 @@
         """The one place where the wanted and the present state are compared and the difference is ordered."""
         # Without acknowledgements the channel is taken to work off its queue at half its rate.
         silent_s = (
-            (now - self.queue_updated_at) * (now - self.queue_moved_at > CHANNEL_SILENCE_TENTHS_MS) / SECOND)
+            (now - self.queue_updated_at) * (now - self.queue_moved_at > CHANNEL_SILENCE_TENTHS_MS) / SECOND
+        )
         self.queue, self.queue_updated_at = (
-            max(0.0, self.queue - silent_s * self.terms.channel_lines / 2), now)
+            max(0.0, self.queue - silent_s * self.terms.channel_lines / 2),
+            now,
+        )
         queue_limit, wanted = self.terms.queue_limit, self.wanted_lines(now)
         bind_limits = (
             min(BIND_QUEUE_SHARES[0] * queue_limit, BIND_MAX_QUEUE_S * self.terms.channel_lines),
@@ -657,7 +744,8 @@
         # A proxy that has waited since before this may well hold lines of tasks that left.
         late_before = now - LATE_BIND_GRACE_SHARE * self.terms.grace
         joining = sorted(
-            self.unbound_proxies.values(), key=lambda p: (p.joined_at > late_before, -p.rate, p.id))
+            self.unbound_proxies.values(), key=lambda p: (p.joined_at > late_before, -p.rate, p.id)
+        )
         inheriting = now - self.first_join_at < INHERITED_TABLES_TENTHS_MS and not any(
             t.headroom for t in self.own_tasks
         )
@@ -670,9 +758,15 @@
         )
         tries = "none" if self.retries_stopped else "on proof"
         levels = {
-            k: (self.route_levels.get(k, self.open_level), tries) for k in range(len(self.terms.routes))}
+            k: (self.route_levels.get(k, self.open_level), tries) for k in range(len(self.terms.routes))
+        }
         start, self.shortest_message, reached, complete, levels_moved, drains_wait = (
-            self.written_lines, queue_limit, [], True, False, False
+            self.written_lines,
+            queue_limit,
+            [],
+            True,
+            False,
+            False,
         )
         for table in sorted(self.tables, key=lambda t: t.pushed_at[2]):
             sent, changes = self.push_lines(now, table, wanted[table], joining, orders)
@@ -718,7 +812,8 @@
             self.sent_batches[self.mark] = [start, self.shortest_message, self.written_lines]
         if levels_moved:
             self.effective_at["levels"], self.awaited["levels"] = (
-                0, PushAcknowledgements().expect(reached, self.mark, True)
+                0,
+                PushAcknowledgements().expect(reached, self.mark, True),
             )
         if not self.effective_at["weights"]:
             self.awaited.setdefault("weights", PushAcknowledgements()).expect(reached, self.mark, complete)
@@ -735,8 +830,9 @@
             # If the list has become empty and being dropped from it does not bind, the last table stands.
             if k not in lines and (lines or self.terms.gone_binds or self.lines[k].state == "draining"):
                 task, deferrable = self.tasks[k], weights[k] < math.inf and self.lines[k].state == "ready"
-                changes.append((
-                    deferrable * (1 if task.ejected or not task.warm(now) else 2), -weights[k], k, 0.0))
+                changes.append(
+                    (deferrable * (1 if task.ejected or not task.warm(now) else 2), -weights[k], k, 0.0)
+                )
         for k, weight in lines.items():
             # Cold lines shrink early and grow last: while warm ones are missing, they get more calls.
             old, warm = weights.get(k, 0.0), self.tasks[k].warm(now)
@@ -763,7 +859,9 @@
         keeping: some of them keep older tables on purpose. Returns whether all proxies must acknowledge.
         """
         head, binding = (
-            self.terms.head_lines + 1, ("draining", "gone" if self.terms.gone_binds else "draining"))
+            self.terms.head_lines + 1,
+            ("draining", "gone" if self.terms.gone_binds else "draining"),
+        )
         lines = statistics.fmean(len(t.weights) for t in self.tables) + len(self.terms.routes) + 1 + head
         ends = max(INHERITED_TABLES_TENTHS_MS - now + self.first_join_at, 0) if keeping else 0
         ends += (self.queue + len(waiting) * lines) / self.terms.channel_lines * SECOND
@@ -789,18 +887,23 @@
         self.shortest_message = min(self.shortest_message, head, self.write(now, len(due), waiting))
         # A proxy that holds none of these lines gets no message and would acknowledge nothing: lines that
         # were never in the channel would count in the queue and delay the next withdrawals. So all proxies
-        # are asked to acknowledge, if the queue has room for that as well.
+        # are asked to acknowledge.
         others = [p for k, p in self.channel_proxies.items() if k not in self.unbound_proxies]
         ask_all = (
+            # Only if the queue and the message cap have room for that as well
             self.queue + head * len(others) <= PUSH_QUEUE_SHARES[0] * self.terms.queue_limit
-            and not any(self.push_blocked(now, 0, table) for table in self.tables))
+            and not any(self.push_blocked(now, 0, table) for table in self.tables)
+        )
         self.write(now, 0, others if ask_all else [])
         return ask_all
 
     def fitting_changes(self, now, changes, table):
         """How many of the sorted changes may be ordered now, by push interval, queue and message cap."""
         fit, head, users, limit = (
-            0, self.terms.head_lines + 1, len(table.channel_proxies), self.terms.queue_limit
+            0,
+            self.terms.head_lines + 1,
+            len(table.channel_proxies),
+            self.terms.queue_limit,
         )
         for urgency in range(3):
             upto = sum(c[0] <= urgency for c in changes)
@@ -819,13 +922,16 @@
         cap, since = self.terms.message_cap, now - self.terms.message_span - SECOND
         capped = cap and any(
             p.messages_since(since) >= MESSAGE_CAP_SHARES[urgency] * cap - 1
-            for p in table.channel_proxies.values())
+            for p in table.channel_proxies.values()
+        )
         return capped or now - table.pushed_at[urgency] < PUSH_INTERVALS_TENTHS_MS[urgency]
 
     def write(self, now, lines, proxies):
         """Adds a message with these lines to each proxy to the queue; returns a message's cost in lines."""
         cost, self.queue_moved_at = (  # 1: the line that asks for an acknowledgement
-            lines + self.terms.head_lines + 1, self.queue_moved_at if self.queue else now)
+            lines + self.terms.head_lines + 1,
+            self.queue_moved_at if self.queue else now,
+        )
         proxies = [p for p in proxies if not p.external]
         total, since = len(proxies) * cost, now - self.terms.message_span - SECOND
         self.queue, self.unacknowledged = self.queue + total, self.unacknowledged + total
