--- a/garnetpaddle/brain.py
+++ b/garnetpaddle/brain.py
@@ -27,7 +27,8 @@
 
 # Shares: the part of the calls that each task gets, adjusted step by step to its answers
 SMOOTHING_FACTOR = 0.4  # weight of the latest reading: readings are seconds apart and noisy
-MAX_SHARE_INCREASE_RATIO, MAX_SHARE_DECREASE_RATIO = 2.0, 3.0  # per step: an overload must be left quickly
+MAX_SHARE_INCREASE_RATIO = 2.0  # per step
+MAX_SHARE_DECREASE_RATIO = 3.0  # per step: an overload must be left quickly
 MIN_SHARE_RATIO = 0.2  # of the average share: enough calls to go on observing a task
 SHARE_EXPONENT = 0.7  # in the headroom: 0 aims at equal latency, 1 at equal calls in flight
 PRIOR_ANSWERS = 10.0  # a reading of so few answers counts half, the average the other half
@@ -57,14 +58,15 @@
 
 # Pushes of changed lines, in tuples by urgency: drains and other rules, health, weights
 PUSH_INTERVALS_TENTHS_MS = (0, 3_000, 10_000)  # separate, so that no urgency delays another
-# Of the queue limit: most in use after such a push; after a bind, and after one of a proxy that waited long
-PUSH_QUEUE_SHARES, BIND_QUEUE_SHARES = (0.97, 0.5, 0.5), (0.6, 0.8)
-# s of the channel: such a push starts while less is queued; most after one of health or weights; after a bind
-PUSH_START_QUEUE_S, PUSH_MAX_QUEUE_S, BIND_MAX_QUEUE_S = (math.inf, 1.5, 0.75), 5.0, 1.5
+PUSH_QUEUE_SHARES = (0.97, 0.5, 0.5)  # of the queue limit: most in use after such a push
+BIND_QUEUE_SHARES = (0.6, 0.8)  # likewise after a bind, and after one of a proxy that waited long
+PUSH_START_QUEUE_S = (math.inf, 1.5, 0.75)  # s of the channel: such a push starts while less is queued
+PUSH_MAX_QUEUE_S = 5.0  # s of the channel: most queued after a push of health or weights
+BIND_MAX_QUEUE_S = 1.5  # s of the channel: most queued after a bind
 MESSAGE_CAP_SHARES = (0.95, 0.6, 0.4)  # of the message cap: most in use after such a push
-# Of the grace: binds that end by the first need no withdrawals. A proxy that has waited for longer than the
-# second is late, and withdrawals ordered before it joined are repeated for it.
-BIND_DEADLINE_GRACE_SHARE, LATE_BIND_GRACE_SHARE = 0.9, 0.4
+BIND_DEADLINE_GRACE_SHARE = 0.9  # of the grace: binds that end by then need no withdrawals
+# Of the grace: a proxy that has waited for longer is late; withdrawals ordered before it joined are repeated.
+LATE_BIND_GRACE_SHARE = 0.4
 
 # Ejection of faulty tasks and their readmission
 EJECTION_EVIDENCE = 5.3  # ln 200: the odds at which a task is taken for faulty, one false alarm in 200 tests
@@ -72,21 +74,23 @@
 UNLISTED_EVIDENCE = 3.0  # for a list that drops a task without a drain: two failures then suffice
 FAULTY_FAILURE_SHARE = 0.5  # of a faulty task's calls; more where many fail everywhere, as in an overload
 MAX_EJECTED_SHARE = 0.3  # of all shares, while the other tasks answer: they must be able to carry the load
-# The probe outcome where nothing listens; of the tasks: more that are unreachable are a network fault
-UNREACHABLE, MAX_UNREACHABLE_SHARE = "unreachable", 0.5
-# Report periods of the first ejection, doubled up to the second; rounds of reports for which one is valid
-MIN_EJECTION_PERIODS, MAX_EJECTION_PERIODS, REPORT_VALID_ROUNDS = 3, 24, 3
+UNREACHABLE = "unreachable"  # the probe outcome where nothing listens
+MAX_UNREACHABLE_SHARE = 0.5  # of the tasks: more that are unreachable are a network fault
+MIN_EJECTION_PERIODS = 3  # report periods of the first ejection, doubled for each further one
+MAX_EJECTION_PERIODS = 24
+REPORT_VALID_ROUNDS = 3  # rounds of reports for which a report remains valid
 PROBE_TIMEOUT_SLO_RATIO = 0.5  # of the shortest SLO time: a task that takes as long answers calls late
-PROBE_INTERVAL_TENTHS_MS, SUSPECT_PROBE_INTERVAL_TENTHS_MS = 10_000, 4_000  # 1 s; 0.4 s for a suspected task
+PROBE_INTERVAL_TENTHS_MS = 10_000  # 1 s
+SUSPECT_PROBE_INTERVAL_TENTHS_MS = 4_000  # 0.4 s for a suspected task
 PROBATION_SHARE_RATIO = 0.25  # of the average: most that a readmitted task carries until the test clears it
 SINGLE_FAULT_SHARE = 0.25  # of the tasks: one fault strikes fewer, so more that fail together mean overload
 
 # Overload, admission and retries
-# Of the cores: above the first waits grow without bound; above the second, ejections cease by and by.
-TARGET_BUSY_SHARE, OVERLOAD_BUSY_SHARE = 0.8, 0.88
+TARGET_BUSY_SHARE = 0.8  # of the cores: above it waits grow without bound
+OVERLOAD_BUSY_SHARE = 0.88  # of the cores: above it ejections cease by and by
 LATE_SLO_RATIO = 0.6  # of the SLO time: a mean latency at which many answers are late
-# Most by which admission changes in a step: out of an overload quickly, and not back into it
-MAX_ADMISSION_DECREASE_RATIO, MAX_ADMISSION_INCREASE_RATIO = 0.4, 1.4
+MAX_ADMISSION_DECREASE_RATIO = 0.4  # per step: out of an overload quickly
+MAX_ADMISSION_INCREASE_RATIO = 1.4  # per step: and not back into it
 BACKLOG_RATIO = 3.0  # of the usual calls in flight: more than traffic swings cause, and seen before late sums
 LATE_PRESSURE_RATIO = 1.3  # on the pressure while answers are late: the backlog has to be worked off too
 NO_RETRY_FAILURE_SHARE = 0.1  # failures that the median call meets: from here on nothing is tried again
@@ -99,49 +103,62 @@
     """Turns batches of events into orders. All times are whole tenths of a millisecond."""
 
     def __init__(self, terms, seed):
-        self.terms, self.probe_timeout = (
-            terms,
-            int(PROBE_TIMEOUT_SLO_RATIO * min(r.slo_time for r in terms.routes)),
-        )
-        self.uniform, self.open_level = random.Random(seed).uniform, OPEN_LEVELS.get(terms.level_kind, 1.0)
+        self.terms = terms
+        self.probe_timeout = int(PROBE_TIMEOUT_SLO_RATIO * min(r.slo_time for r in terms.routes))
+        self.uniform = random.Random(seed).uniform
+        self.open_level = OPEN_LEVELS.get(terms.level_kind, 1.0)
         self.registry = registry = TaskRegistry()
-        self.tasks, self.lines, self.changed_at = registry.tasks, registry.lines, registry.changed_at
-        self.ready, self.observed, self.leaving = registry.ready, registry.observed, registry.leaving
+        self.tasks = registry.tasks
+        self.lines = registry.lines
+        self.changed_at = registry.changed_at
+        self.ready = registry.ready
+        self.observed = registry.observed
+        self.leaving = registry.leaving
         # task_order: the ready tasks, and the same in the order from which this assigner's part is cut
-        self.proxies, self.task_order = {}, (None, [])
+        self.proxies = {}
+        self.task_order = (None, [])
         # The proxies behind the channel, their call rate, and all proxies not known for certain to be bound
-        self.channel_proxies, self.call_rate, self.unbound_proxies = {}, 0.0, {}
+        self.channel_proxies = {}
+        self.call_rate = 0.0
+        self.unbound_proxies = {}
         # withdrawn: task -> when its withdrawal was ordered, False where that order is in doubt
-        self.tables, self.withdrawn = [self.new_table(1)], {}
+        self.tables = [self.new_table(1)]
+        self.withdrawn = {}
         # counted_until: (task, zone) -> the end of the time that its sums have covered
-        self.notes, self.pending_sums, self.counted_until = [], [], {}
-        self.timers, self.timer_serial = [(0, 0, Brain.subscribe, None)] * (terms.list_mode == "ask"), 0
+        self.notes = []
+        self.pending_sums = []
+        self.counted_until = {}
+        self.timers = [(0, 0, Brain.subscribe, None)] * (terms.list_mode == "ask")
+        self.timer_serial = 0
         # queue: lines in the channel, estimated from what is unacknowledged and, while no stream has broken,
         # from the order of messages. sent_batches: mark -> [lines known to have left the channel when a proxy
         # acknowledges it, lines of its shortest message, lines written up to its end].
-        self.queue, self.unacknowledged, self.written_lines, self.sent_batches, self.shortest_message = (
-            0.0,
-            0.0,
-            0.0,
-            {},
-            0.0,
-        )
+        self.queue = 0.0
+        self.unacknowledged = 0.0
+        self.written_lines = 0.0
+        self.sent_batches = {}
+        self.shortest_message = 0.0
         # When the last push of each kind took effect (0: not yet), and the acknowledgements that it waits for
-        self.mark, self.effective_at, self.awaited = 0, {"weights": 0, "levels": 0}, {}
+        self.mark = 0
+        self.effective_at = {"weights": 0, "levels": 0}
+        self.awaited = {}
         self.queue_updated_at = self.in_order_from = self.rebalanced_at = 0
         self.next_tick_at = self.subscribe_failures = self.sums_at = self.first_join_at = (
             self.report_delay
         ) = self.queue_moved_at = 0
-        (
-            self.admitted_share,
-            self.usual_in_flight,
-            self.usual_failure_share,
-            self.route_levels,
-            self.route_calls,
-        ) = 1.0, 1.0, 0.0, {}, {}
-        self.mean_size, self.retries_stopped, self.report_round = 0.0, False, terms.report_period
+        self.admitted_share = 1.0
+        self.usual_in_flight = 1.0
+        self.usual_failure_share = 0.0
+        self.route_levels = {}
+        self.route_calls = {}
+        self.mean_size = 0.0
+        self.retries_stopped = False
+        self.report_round = terms.report_period
         # The most tasks that were ever ready; this assigner's part of the ready tasks
-        self.fleet_size, self.own_tasks, self.own_ids, self.part_size = 1, [], frozenset(), 0.0
+        self.fleet_size = 1
+        self.own_tasks = []
+        self.own_ids = frozenset()
+        self.part_size = 0.0
 
     def handle(self, now, events):
         """Takes a batch of events and returns the orders that follow from it."""
@@ -188,7 +205,8 @@
     def on_task_line(self, now, line, shares):
         """Applies a line of the list. A task dropped during a drain stays draining. Where being dropped does
         not bind, it only counts as evidence against a ready task."""
-        known, task = self.lines.get(line.task), self.tasks.get(line.task)
+        known = self.lines.get(line.task)
+        task = self.tasks.get(line.task)
         state = known.state if known else "gone"
         if line.state == "gone" and (state == "draining" or state == "ready" and not self.terms.gone_binds):
             if state == "ready":
@@ -223,12 +241,16 @@
     def on_proxy_joined(self, now, event):
         if not (self.proxies if event.aside else self.channel_proxies):
             # The first to join. Whatever tables the proxies hold by chance count as even ones, in effect now.
-            self.first_join_at, self.counted_until, self.pending_sums = now, {}, []
-            self.effective_at, self.awaited = {"weights": now, "levels": now}, {}
+            self.first_join_at = now
+            self.counted_until = {}
+            self.pending_sums = []
+            self.effective_at = {"weights": now, "levels": now}
+            self.awaited = {}
         proxy = Proxy(now, event, self.remove_proxy(event.proxy))
         self.proxies[event.proxy] = self.unbound_proxies[event.proxy] = proxy
         if not event.aside:
-            self.channel_proxies[event.proxy], self.call_rate = proxy, self.call_rate + proxy.rate
+            self.channel_proxies[event.proxy] = proxy
+            self.call_rate = self.call_rate + proxy.rate
 
     def on_proxy_left(self, now, event):
         """A broken stream takes its lines out of the channel, and later messages overtake earlier ones: until
@@ -241,7 +263,8 @@
         self.update_effective(now, event.proxy, self.mark)
 
     def remove_proxy(self, number):
-        proxy, _ = self.proxies.pop(number, None), self.unbound_proxies.pop(number, None)
+        proxy = self.proxies.pop(number, None)
+        _ = self.unbound_proxies.pop(number, None)
         if proxy:
             proxy.bind(False, None)
         if self.channel_proxies.pop(number, None):
@@ -271,10 +294,8 @@
 
     def acknowledge(self, now, proxy, mark):
         """Takes what a proxy has confirmed, all its messages up to a mark, off the queue's upper bound."""
-        self.unacknowledged, self.queue_moved_at = (
-            max(0.0, self.unacknowledged - proxy.acknowledge(mark)),
-            now,
-        )
+        self.unacknowledged = max(0.0, self.unacknowledged - proxy.acknowledge(mark))
+        self.queue_moved_at = now
         self.queue = min(self.queue, self.unacknowledged)
 
     def on_orders_lost(self, now, event):
@@ -294,10 +315,8 @@
                 case gp.Seal(mark=mark) if not event.perhaps:
                     self.sent_batches.pop(mark, None)
                     unsent = sum(p.unacknowledged.pop(mark, 0.0) for p in self.channel_proxies.values())
-                    self.queue, self.unacknowledged = (
-                        max(0.0, self.queue - unsent),
-                        self.unacknowledged - unsent,
-                    )
+                    self.queue = max(0.0, self.queue - unsent)
+                    self.unacknowledged = self.unacknowledged - unsent
 
     def on_orders_in_doubt(self, now, event):
         """Starts a new table that nobody is bound to, as all earlier orders may be lost."""
@@ -317,7 +336,8 @@
         for kind, acknowledgements in list(self.awaited.items()):
             acknowledgements.acknowledge(proxy, mark)
             if acknowledgements.complete and acknowledgements.pending_calls <= 0.1 * self.call_rate:
-                self.effective_at[kind], _ = now, self.awaited.pop(kind)
+                self.effective_at[kind] = now
+                _ = self.awaited.pop(kind)
 
     def on_task_sums(self, now, event):
         if event.task in self.tasks and event.span <= now - self.first_join_at + self.terms.report_period:
@@ -331,10 +351,8 @@
         ends = [base[e.task, e.zone] + e.span for e in self.pending_sums if (e.task, e.zone) in base]
         until = min(int(statistics.median(ends)) if ends else now - self.report_delay, now)
         kept = {pair: at for pair, at in self.counted_until.items() if pair[0] in self.tasks}
-        self.report_delay, self.counted_until = (
-            now - until,
-            kept | {(e.task, e.zone): until for e in self.pending_sums},
-        )
+        self.report_delay = now - until
+        self.counted_until = kept | {(e.task, e.zone): until for e in self.pending_sums}
         return until
 
     def evaluate_sums(self, now):
@@ -343,9 +361,11 @@
         until = self.end_of_sums(now)
         spans = statistics.median([event.span for event in self.pending_sums])
         self.report_round += SMOOTHING_FACTOR * (max(spans, self.terms.report_period) - self.report_round)
-        sums_by_task, level_sums = {}, [0, 0, 0.0]  # level_sums: measured mostly at the present levels
+        sums_by_task = {}
+        level_sums = [0, 0, 0.0]  # measured mostly at the present levels
         for event in self.pending_sums:
-            task, good = self.tasks.get(event.task), event.tries - event.failures
+            task = self.tasks.get(event.task)
+            good = event.tries - event.failures
             if (
                 not task
                 or min(event.span, event.tries) <= 0
@@ -377,7 +397,8 @@
             )
         if level_sums[0] and self.terms.level_kind == "fraction":
             self.update_levels(*level_sums)
-        tasks, self.pending_sums = [t for t in self.own_tasks if not t.ejected], []
+        tasks = [t for t in self.own_tasks if not t.ejected]
+        self.pending_sums = []
         if tasks and sum(t.tries for t in tasks) >= (
             MIN_ANSWERS_PER_TASK[any(t.headroom for t in tasks)] * len(tasks)
         ):
@@ -389,18 +410,15 @@
         Those of a slow task do not: slow answers mean overload, which a smaller share relieves. Ejecting the
         task would overload others. The same goes for its probes.
         """
-        task, good = self.tasks[name], tries - failures
+        task = self.tasks[name]
+        good = tries - failures
         self.registry.observe(task)
-        task.reported_at, task.mean_tries = (
-            now,
-            task.mean_tries + SMOOTHING_FACTOR * (tries - task.mean_tries),
-        )
+        task.reported_at = now
+        task.mean_tries = task.mean_tries + SMOOTHING_FACTOR * (tries - task.mean_tries)
         task.failure_share += tries / (tries + PRIOR_ANSWERS) * (failures / tries - task.failure_share)
         if good:
-            task.mean_latency, task.succeeded_at = (
-                (task.mean_latency or latency / good) / 2 + latency / good / 2,
-                now,
-            )
+            task.mean_latency = (task.mean_latency or latency / good) / 2 + latency / good / 2
+            task.succeeded_at = now
         task.slow = now - task.succeeded_at < REPORT_VALID_ROUNDS * self.report_round and (
             task.mean_latency > 2 * self.median_latency(task.kind)
         )
@@ -508,7 +526,8 @@
         for t in tasks:
             ratio = min(max(t.headroom / average, 1 / MAX_SHARE_DECREASE_RATIO), MAX_SHARE_INCREASE_RATIO)
             # The headroom was measured at the old share; unchanged, it would move the new one once more.
-            t.share, t.headroom = t.share * ratio, t.headroom / ratio
+            t.share = t.share * ratio
+            t.headroom = t.headroom / ratio
         scale = len(tasks) / sum(t.share for t in tasks)
         for t in tasks:
             t.share = max(t.share * scale, MIN_SHARE_RATIO)
@@ -530,7 +549,8 @@
             1.0,
         )
         work = {k: max(self.route_calls.get(k, 1), 1) * r.slo_time for k, r in enumerate(self.terms.routes)}
-        cut, total_work = 1 - self.admitted_share, sum(work.values())
+        cut = 1 - self.admitted_share
+        total_work = sum(work.values())
         for k in sorted(work, key=lambda k: self.terms.routes[k].importance / self.terms.routes[k].slo_time):
             part = min(cut * total_work / work[k], 1 - MIN_ROUTE_LEVEL)
             cut -= part * work[k] / total_work
@@ -567,7 +587,9 @@
                 t.ejected_until = now + min(
                     MIN_EJECTION_PERIODS * 2**t.ejections, MAX_EJECTION_PERIODS
                 ) * self.terms.report_period * (t not in lost)
-                t.ejected, t.probe_successes, t.ejections = True, 0, t.ejections + (t not in lost)
+                t.ejected = True
+                t.probe_successes = 0
+                t.ejections = t.ejections + (t not in lost)
                 self.notes.append(f"{t.id} is taken out: it fails calls that others answer")
 
     def health(self):
@@ -605,7 +627,8 @@
         for t in [t for t in self.own_tasks if self.terms.probes_allowed and not t.probe_scheduled]:
             t.probe_scheduled = True
             self.schedule(now + int(self.uniform(0, PROBE_INTERVAL_TENTHS_MS)), Brain.probe, t)
-        assigned, health = self.assign_to_tables(now, self.own_tasks), self.health()
+        assigned = self.assign_to_tables(now, self.own_tasks)
+        health = self.health()
         unfailing = 1 - max(self.usual_failure_share, self.failing_probe_share(), self.backlog() - 1)
         # The calls of a task while the whole fleet is ready, and what each ready task gets in such units now
         task_calls = (
@@ -624,7 +647,8 @@
     def assign_to_tables(self, now, own_tasks):
         """The tasks of each table: of one, or of as many smaller ones as are needed to bind all proxies in
         time. A table with few healthy tasks for its calls gets some from the table that has the most."""
-        terms, proxies = self.terms, max(len(self.channel_proxies), self.terms.proxies / self.terms.assigners)
+        terms = self.terms
+        proxies = max(len(self.channel_proxies), self.terms.proxies / self.terms.assigners)
         max_lines = MAX_BIND_ALL_S * terms.channel_lines / proxies - terms.head_lines - 2 - len(terms.routes)
         while len(self.tables) < math.ceil(len(own_tasks) / max(max_lines, MIN_TABLE_LINES)):
             self.tables.append(self.new_table(self.tables[-1].number % 60_000 + 1))
@@ -637,7 +661,8 @@
         expected = self.call_rate / len(self.tables) / 4 + 0.1  # calls that a table may get by further binds
         strength = {t: len(healthy[t]) / (t.call_rate + expected) for t in healthy}
         for weak in self.tables if len(self.tables) > 1 else ():
-            strong, few = max(strength, key=strength.get), len(healthy[weak]) < MIN_WARM_LINES
+            strong = max(strength, key=strength.get)
+            few = len(healthy[weak]) < MIN_WARM_LINES
             interval = 0 if few and not weak.channel_proxies else PUSH_INTERVALS_TENTHS_MS[1 if few else 2]
             needed = few or (
                 2 * strength[weak] < strength[strong]
@@ -690,17 +715,16 @@
         The part is as large as the share of the proxies that are joined, and with several tables it never
         shrinks. Assigners cut it from the same circular order, each from its own place.
         """
-        terms, even, size = (
-            self.terms,
-            1 / self.terms.assigners,
-            len(self.channel_proxies) / self.terms.proxies,
-        )
+        terms = self.terms
+        even = 1 / self.terms.assigners
+        size = len(self.channel_proxies) / self.terms.proxies
         self.part_size = size = max(size, even, self.part_size * (len(self.tables) > 1))
         whole = terms.proxies * even * (self.fleet_size + terms.head_lines)
         if whole <= min(terms.queue_limit, MAX_BIND_ALL_S * terms.channel_lines) or size >= 1:
             return ready
         if self.task_order[0] is not ready:
-            named, cut = sorted(ready, key=lambda t: t.id), round(len(ready) * terms.rank / terms.assigners)
+            named = sorted(ready, key=lambda t: t.id)
+            cut = round(len(ready) * terms.rank / terms.assigners)
             own_zone_first = terms.homed and terms.assigners >= terms.zones
             self.task_order = (
                 ready,
@@ -722,7 +746,9 @@
 
     def cold_capacity(self, now, task):
         """The part of an even share that a cold task may get by its age."""
-        age, start, fall = now - task.ramp_from, self.terms.start_share, self.terms.fall_multiple
+        age = now - task.ramp_from
+        start = self.terms.start_share
+        fall = self.terms.fall_multiple
         capacity = COLD_CAPACITY_SHARE * (fall * (start + (1 - start) * min(age / max(task.ramp_time, 1), 1)))
         return capacity * (age >= COLD_START_DELAY_PERIODS * self.terms.report_period)
 
@@ -732,11 +758,10 @@
         silent_s = (
             (now - self.queue_updated_at) * (now - self.queue_moved_at > CHANNEL_SILENCE_TENTHS_MS) / SECOND
         )
-        self.queue, self.queue_updated_at = (
-            max(0.0, self.queue - silent_s * self.terms.channel_lines / 2),
-            now,
-        )
-        queue_limit, wanted = self.terms.queue_limit, self.wanted_lines(now)
+        self.queue = max(0.0, self.queue - silent_s * self.terms.channel_lines / 2)
+        self.queue_updated_at = now
+        queue_limit = self.terms.queue_limit
+        wanted = self.wanted_lines(now)
         bind_limits = (
             min(BIND_QUEUE_SHARES[0] * queue_limit, BIND_MAX_QUEUE_S * self.terms.channel_lines),
             BIND_QUEUE_SHARES[1] * queue_limit,
@@ -760,14 +785,12 @@
         levels = {
             k: (self.route_levels.get(k, self.open_level), tries) for k in range(len(self.terms.routes))
         }
-        start, self.shortest_message, reached, complete, levels_moved, drains_wait = (
-            self.written_lines,
-            queue_limit,
-            [],
-            True,
-            False,
-            False,
-        )
+        start = self.written_lines
+        self.shortest_message = queue_limit
+        reached = []
+        complete = True
+        levels_moved = False
+        drains_wait = False
         for table in sorted(self.tables, key=lambda t: t.pushed_at[2]):
             sent, changes = self.push_lines(now, table, wanted[table], joining, orders)
             moved = [k for k in levels if levels[k] != table.levels.get(k)]
@@ -789,7 +812,8 @@
                     self.write(now, sent + len(moved), table.channel_proxies.values()),
                 )
                 reached += table.channel_proxies.values()
-            complete, levels_moved = complete and sent == len(changes), levels_moved or bool(notable)
+            complete = complete and sent == len(changes)
+            levels_moved = levels_moved or bool(notable)
             drains_wait = drains_wait or sent < len(changes) and changes[sent][0] == 0
         total_weight = {t: sum(lines.values()) for t, lines in wanted.items()}
         # Binds never take a drain's room. Proxies with most calls go first; the others keep their tables.
@@ -811,10 +835,8 @@
             orders.append(gp.Seal(self.mark, ask_all))
             self.sent_batches[self.mark] = [start, self.shortest_message, self.written_lines]
         if levels_moved:
-            self.effective_at["levels"], self.awaited["levels"] = (
-                0,
-                PushAcknowledgements().expect(reached, self.mark, True),
-            )
+            self.effective_at["levels"] = 0
+            self.awaited["levels"] = PushAcknowledgements().expect(reached, self.mark, True)
         if not self.effective_at["weights"]:
             self.awaited.setdefault("weights", PushAcknowledgements()).expect(reached, self.mark, complete)
         self.update_effective(now, None, self.mark)  # if no change was worth sending, the last push stands
@@ -824,18 +846,21 @@
 
         Returns how many changes were ordered, and all changes: (urgency, sort key, task, weight).
         """
-        weights, changes = table.weights, []
+        weights = table.weights
+        changes = []
         bare = not any(weight and k in lines for k, weight in weights.items())
         for k in weights:
             # If the list has become empty and being dropped from it does not bind, the last table stands.
             if k not in lines and (lines or self.terms.gone_binds or self.lines[k].state == "draining"):
-                task, deferrable = self.tasks[k], weights[k] < math.inf and self.lines[k].state == "ready"
+                task = self.tasks[k]
+                deferrable = weights[k] < math.inf and self.lines[k].state == "ready"
                 changes.append(
                     (deferrable * (1 if task.ejected or not task.warm(now) else 2), -weights[k], k, 0.0)
                 )
         for k, weight in lines.items():
             # Cold lines shrink early and grow last: while warm ones are missing, they get more calls.
-            old, warm = weights.get(k, 0.0), self.tasks[k].warm(now)
+            old = weights.get(k, 0.0)
+            warm = self.tasks[k].warm(now)
             if not old and (warm or bare):
                 changes.append((int(not bare), -weight, k, weight))
             elif old == math.inf or abs(weight - old) > MIN_WEIGHT_CHANGE_RATIO * old:
@@ -858,10 +883,8 @@
 
         keeping: some of them keep older tables on purpose. Returns whether all proxies must acknowledge.
         """
-        head, binding = (
-            self.terms.head_lines + 1,
-            ("draining", "gone" if self.terms.gone_binds else "draining"),
-        )
+        head = self.terms.head_lines + 1
+        binding = ("draining", "gone" if self.terms.gone_binds else "draining")
         lines = statistics.fmean(len(t.weights) for t in self.tables) + len(self.terms.routes) + 1 + head
         ends = max(INHERITED_TABLES_TENTHS_MS - now + self.first_join_at, 0) if keeping else 0
         ends += (self.queue + len(waiting) * lines) / self.terms.channel_lines * SECOND
@@ -870,7 +893,8 @@
         room = int((PUSH_QUEUE_SHARES[0] * self.terms.queue_limit - self.queue) / len(waiting) - head)
         # Only tasks whose line stands in no table and was not removed just now: otherwise the withdrawal
         # would cost the bound proxies a message as well. One that is repeated goes to all who wait.
-        withdrawn, late_before = self.withdrawn, now - LATE_BIND_GRACE_SHARE * self.terms.grace
+        withdrawn = self.withdrawn
+        late_before = now - LATE_BIND_GRACE_SHARE * self.terms.grace
         due = [
             k
             for k in sorted(self.leaving, key=self.changed_at.get)
@@ -899,12 +923,10 @@
 
     def fitting_changes(self, now, changes, table):
         """How many of the sorted changes may be ordered now, by push interval, queue and message cap."""
-        fit, head, users, limit = (
-            0,
-            self.terms.head_lines + 1,
-            len(table.channel_proxies),
-            self.terms.queue_limit,
-        )
+        fit = 0
+        head = self.terms.head_lines + 1
+        users = len(table.channel_proxies)
+        limit = self.terms.queue_limit
         for urgency in range(3):
             upto = sum(c[0] <= urgency for c in changes)
             if upto <= fit or self.push_blocked(now, urgency, table):
@@ -919,7 +941,8 @@
 
     def push_blocked(self, now, urgency, table):
         """Whether a push of this urgency to a table is too soon after the last, or near the message cap."""
-        cap, since = self.terms.message_cap, now - self.terms.message_span - SECOND
+        cap = self.terms.message_cap
+        since = now - self.terms.message_span - SECOND
         capped = cap and any(
             p.messages_since(since) >= MESSAGE_CAP_SHARES[urgency] * cap - 1
             for p in table.channel_proxies.values()
@@ -928,13 +951,13 @@
 
     def write(self, now, lines, proxies):
         """Adds a message with these lines to each proxy to the queue; returns a message's cost in lines."""
-        cost, self.queue_moved_at = (  # 1: the line that asks for an acknowledgement
-            lines + self.terms.head_lines + 1,
-            self.queue_moved_at if self.queue else now,
-        )
+        cost = lines + self.terms.head_lines + 1  # 1: the line that asks for an acknowledgement
+        self.queue_moved_at = self.queue_moved_at if self.queue else now
         proxies = [p for p in proxies if not p.external]
-        total, since = len(proxies) * cost, now - self.terms.message_span - SECOND
-        self.queue, self.unacknowledged = self.queue + total, self.unacknowledged + total
+        total = len(proxies) * cost
+        since = now - self.terms.message_span - SECOND
+        self.queue = self.queue + total
+        self.unacknowledged = self.unacknowledged + total
         self.written_lines += total
         for proxy in proxies:
             proxy.record_message(now, since, (self.mark + 1) % 65_536, cost)
--- a/garnetpaddle/state.py
+++ b/garnetpaddle/state.py
@@ -12,21 +12,18 @@
     """
 
     def __init__(self, line, share, warm_after):
-        self.id, self.kind, self.zone, self.share, self.last_probe = (
-            line.task,
-            line.kind,
-            line.zone,
-            share,
-            "ok",
-        )
-        self.ramp_from, self.ramp_time = line.started_at, warm_after if line.started_at else 0
-        self.ejected_until, self.ejections, self.probe_successes, self.reported_at, self.succeeded_at = (
-            0,
-            0,
-            0,
-            NEVER,
-            NEVER,
-        )
+        self.id = line.task
+        self.kind = line.kind
+        self.zone = line.zone
+        self.share = share
+        self.last_probe = "ok"
+        self.ramp_from = line.started_at
+        self.ramp_time = warm_after if line.started_at else 0
+        self.ejected_until = 0
+        self.ejections = 0
+        self.probe_successes = 0
+        self.reported_at = NEVER
+        self.succeeded_at = NEVER
         # Smoothed values: failure_share, mean_tries (per report), mean_latency. fault_evidence is the log of
         # the odds that the task is faulty.
         self.headroom = self.failure_share = self.mean_tries = self.fault_evidence = self.mean_latency = (
@@ -45,16 +42,21 @@
         return self.latency + self.failures * failure_latency
 
     def reset_counts(self):
-        self.tries, self.failures, self.latency = 0, 0, 0.0
+        self.tries = 0
+        self.failures = 0
+        self.latency = 0.0
 
     def add_calls(self, tries, failures, latency):
         """Adds calls to the counts for the next adjustment; latency: the sum over the successful ones."""
-        self.tries, self.failures = self.tries + tries, self.failures + failures
+        self.tries = self.tries + tries
+        self.failures = self.failures + failures
         self.latency += latency
 
     def readmit(self, fault_evidence):
         """Ends the ejection and puts the task on probation, with this much evidence against it left."""
-        self.ejected, self.fault_evidence, self.on_probation = False, fault_evidence, True
+        self.ejected = False
+        self.fault_evidence = fault_evidence
+        self.on_probation = True
         self.reset_counts()
 
     def update_load(self, load):
@@ -71,9 +73,13 @@
     """
 
     def __init__(self, now, joined, previous):
-        self.id, self.joined_at, self.rate = joined.proxy, now, max(0.1, joined.rate)
-        self.fresh, self.external = joined.fresh, joined.aside
-        self.bound, self.table = False, None  # bound: None where that is in doubt
+        self.id = joined.proxy
+        self.joined_at = now
+        self.rate = max(0.1, joined.rate)
+        self.fresh = joined.fresh
+        self.external = joined.aside
+        self.bound = False  # None where that is in doubt
+        self.table = None
         # The times of messages, and the lines of each unacknowledged mark. They are kept when a proxy joins
         # again without having left: messages to it may still be in the channel.
         self.message_times = previous.message_times if previous else collections.deque()
@@ -103,7 +109,8 @@
         if self.table:
             self.table.channel_proxies.pop(self.id, None)
             self.table.call_rate -= 0.0 if self.external else self.rate
-        self.bound, self.table = bound, None if bound is False else table
+        self.bound = bound
+        self.table = None if bound is False else table
         if self.table:
             self.table.call_rate += 0.0 if self.external else self.rate
             if not self.external:
@@ -118,9 +125,13 @@
     """
 
     def __init__(self, number, levels):
-        self.number, self.weights = number, {}
-        self.levels, self.levels_ordered = levels, False  # levels_ordered: any was ever ordered
-        self.pushed_at, self.channel_proxies, self.call_rate = [NEVER] * 3, {}, 0.0
+        self.number = number
+        self.weights = {}
+        self.levels = levels
+        self.levels_ordered = False  # whether any was ever ordered
+        self.pushed_at = [NEVER] * 3
+        self.channel_proxies = {}
+        self.call_rate = 0.0
 
     def set_weight(self, task, weight):
         """Sets a line and moves it behind all others; weight 0 removes it."""
@@ -133,7 +144,9 @@
     """The acknowledgements that a push still waits for; `pending_calls` is the call rate of these proxies."""
 
     def __init__(self):
-        self.pending, self.pending_calls, self.complete = {}, 0.0, False  # pending: proxy -> mark, call rate
+        self.pending = {}  # proxy -> mark, call rate
+        self.pending_calls = 0.0
+        self.complete = False
 
     def expect(self, proxies, mark, complete):
         """Adds proxies to wait for; once the push is complete, later messages are not waited for."""
--- a/garnetpaddle/task_registry.py
+++ b/garnetpaddle/task_registry.py
@@ -14,9 +14,12 @@
     """Keeps, by task name, the `tasks`, their last `lines` and when each last changed (`changed_at`)."""
 
     def __init__(self):
-        self.tasks, self.lines, self.changed_at = {}, {}, {}
+        self.tasks = {}
+        self.lines = {}
+        self.changed_at = {}
         self.leaving = {}  # a dict used as an ordered set: the iteration order must be reproducible
-        self._ready, self._observed = None, None
+        self._ready = None
+        self._observed = None
 
     def ready(self):
         """The tasks listed as ready. The same list object until the task list changes; not to be modified."""
@@ -41,7 +44,8 @@
     def observe(self, task):
         """Marks a task as observed."""
         if not task.observed:
-            task.observed, self._observed = True, None
+            task.observed = True
+            self._observed = None
 
     def register(self, task):
         """Adds a task, or replaces it after a restart."""
@@ -49,7 +53,8 @@
 
     def update_line(self, now, line):
         """Stores a line of the task list; the task of a ready line must be registered before."""
-        self.lines[line.task], self.changed_at[line.task] = line, now
+        self.lines[line.task] = line
+        self.changed_at[line.task] = now
         self.leaving.pop(line.task, None)
         if line.state != "ready":
             self.leaving[line.task] = True
@@ -57,7 +62,8 @@
 
     def mark_unlisted(self, now, name):
         """Marks a ready task that a list no longer names: it may be gone, or the list may be wrong."""
-        self.tasks[name].unlisted, self.changed_at[name] = True, now
+        self.tasks[name].unlisted = True
+        self.changed_at[name] = now
         self.leaving[name] = True
         self.observe(self.tasks[name])
 
