--- a/garnetpaddle/brain.py
+++ b/garnetpaddle/brain.py
@@ -1,6 +1,10 @@
 """The decisions of one assigner: all of them, and nothing else. No clock, no I/O; docs/design.md says why.
 
 `orders = Brain(terms, seed).handle(now, events)`, with types of garnetpaddle/interface, now in tenths of a ms
+
+A table holds a line, a task with its weight, for each task that the proxies bound to it may call. Orders
+reach the proxies as messages through a channel of limited lines a second; a message costs its own lines and a
+head. Each batch of messages has a mark, and a proxy acknowledges the mark up to which it has applied them.
 """
 
 import dataclasses
@@ -25,14 +29,14 @@
 # 6 s: how long proxies keep tables ordered before this start, which fit better than even shares
 INHERITED_TABLES_TENTHS_MS = 60_000
 
-# Shares: the part of the calls that each task gets, adjusted step by step to its answers
+# Shares: the calls that each task gets, as a ratio to the average; adjusted in steps, by its answers
 SMOOTHING_FACTOR = 0.4  # weight of the latest reading: readings are seconds apart and noisy
 MAX_SHARE_INCREASE_RATIO = 2.0  # per step
 MAX_SHARE_DECREASE_RATIO = 3.0  # per step: an overload must be left quickly
 MIN_SHARE_RATIO = 0.2  # of the average share: enough calls to go on observing a task
 SHARE_EXPONENT = 0.7  # in the headroom: 0 aims at equal latency, 1 at equal calls in flight
 PRIOR_ANSWERS = 10.0  # a reading of so few answers counts half, the average the other half
-# Answers per task on average before a step: the first, when machine kinds tell more; the later ones
+# Answers per task on average before the first step, when machine kinds tell more, and before later ones
 MIN_ANSWERS_PER_TASK = (3, 8)
 FAILURE_LATENCY_TENTHS_MS = SECOND  # a failed answer counts as 1 s of latency
 REPORT_COLLECTION_TENTHS_MS = 1_500  # 0.15 s: the lines of one report may arrive in several batches
@@ -43,14 +47,15 @@
 COLD_ONLY_CAPACITY_SHARE = COLD_CAPACITY_SHARE
 # Below it cold tasks get no line: however light, it would get all calls that proxies keep from other tasks.
 MIN_HEALTH_FOR_COLD = 0.6
-# Report periods without a line: a task that has just started can take little, and a jam would not show yet.
+# Report periods without a line: a task that has just started can take little, and reports would not
+# show an overload yet.
 COLD_START_DELAY_PERIODS = 2.5
 
 # Tables
 MIN_WEIGHT_RATIO = 0.005  # of the average: a smaller weight is left out, as a line of weight 0 is no line
 MIN_WEIGHT_CHANGE_RATIO = 0.1  # a smaller change of a weight is not sent
 MAX_BIND_ALL_S = 4.0  # s of the channel that binding all joined proxies may take; else tables are smaller
-MIN_TABLE_LINES = 8  # of a smaller table: with fewer, proxies with a bad task in it call little else
+MIN_TABLE_LINES = 8  # of a smaller table: with fewer, a proxy whose table has a bad task calls little else
 # A table with fewer warm lines gets up to half of those of the best equipped table at once, others over time.
 MIN_WARM_LINES = 2
 # A proxy that takes longer to meet the failures in a row that make it avoid a task avoids few tasks.
@@ -87,20 +92,24 @@
 
 # Overload, admission and retries
 TARGET_BUSY_SHARE = 0.8  # of the cores: above it waits grow without bound
-OVERLOAD_BUSY_SHARE = 0.88  # of the cores: above it ejections cease by and by
+OVERLOAD_BUSY_SHARE = 0.88  # of the cores: above it fewer ejections, and none at 1
 LATE_SLO_RATIO = 0.6  # of the SLO time: a mean latency at which many answers are late
 MAX_ADMISSION_DECREASE_RATIO = 0.4  # per step: out of an overload quickly
-MAX_ADMISSION_INCREASE_RATIO = 1.4  # per step: and not back into it
+MAX_ADMISSION_INCREASE_RATIO = 1.4  # per step: not so fast that the overload returns
 BACKLOG_RATIO = 3.0  # of the usual calls in flight: more than traffic swings cause, and seen before late sums
 LATE_PRESSURE_RATIO = 1.3  # on the pressure while answers are late: the backlog has to be worked off too
-NO_RETRY_FAILURE_SHARE = 0.1  # failures that the median call meets: from here on nothing is tried again
-# The level that admits everything: calls a second at a proxy; for other kinds of level a share, 1
+NO_RETRY_FAILURE_SHARE = 0.1  # that the median call meets: from here on nothing is tried again
+# By kind of level, the one that admits everything: calls a second at a proxy; for other kinds a share, 1
 OPEN_LEVELS = {"per_second": 1e6}
 MIN_ROUTE_LEVEL = 0.05  # enough calls to go on observing the route
 
 
 class Brain:
-    """Turns batches of events into orders. All times are whole tenths of a millisecond."""
+    """Turns batches of events into orders. All times are whole tenths of a millisecond.
+
+    The on_... handlers only update the state. handle() then evaluates the reports, ejects or readmits tasks,
+    and orders the difference between the wanted and the present state.
+    """
 
     def __init__(self, terms, seed):
         self.terms = terms
@@ -114,51 +123,49 @@
         self.ready = registry.ready
         self.observed = registry.observed
         self.leaving = registry.leaving
-        # task_order: the ready tasks, and the same in the order from which this assigner's part is cut
         self.proxies = {}
+        # A list of ready tasks, and the same tasks in the order from which the assigners' parts are cut
         self.task_order = (None, [])
-        # The proxies behind the channel, their call rate, and all proxies not known for certain to be bound
-        self.channel_proxies = {}
-        self.call_rate = 0.0
-        self.unbound_proxies = {}
-        # withdrawn: task -> when its withdrawal was ordered, False where that order is in doubt
+        self.channel_proxies = {}  # those behind the channel, which are all but external followers
+        self.call_rate = 0.0  # of the channel's proxies
+        self.unbound_proxies = {}  # those not known for certain to be bound
         self.tables = [self.new_table(1)]
-        self.withdrawn = {}
-        # counted_until: (task, zone) -> the end of the time that its sums have covered
+        self.withdrawn = {}  # task -> when its withdrawal was ordered, False where that order is in doubt
         self.notes = []
         self.pending_sums = []
-        self.counted_until = {}
+        self.counted_until = {}  # (task, zone) -> the end of the time that its sums have covered
         self.timers = [(0, 0, Brain.subscribe, None)] * (terms.list_mode == "ask")
         self.timer_serial = 0
-        # queue: lines in the channel, estimated from what is unacknowledged and, while no stream has broken,
-        # from the order of messages. sent_batches: mark -> [lines known to have left the channel when a proxy
-        # acknowledges it, lines of its shortest message, lines written up to its end].
+        # Lines in the channel, estimated from what is unacknowledged and, while no stream has broken, from
+        # the order of messages
         self.queue = 0.0
         self.unacknowledged = 0.0
         self.written_lines = 0.0
+        # mark -> [lines written before the batch and those that its acknowledgements prove to have left,
+        # lines of its shortest message, lines written up to its end]
         self.sent_batches = {}
-        self.shortest_message = 0.0
-        # When the last push of each kind took effect (0: not yet), and the acknowledgements that it waits for
+        self.shortest_message = 0.0  # of the present batch
         self.mark = 0
-        self.effective_at = {"weights": 0, "levels": 0}
-        self.awaited = {}
+        self.effective_at = {"weights": 0, "levels": 0}  # when the last push took effect; 0: not yet
+        self.awaited = {}  # "weights" or "levels" -> the acknowledgements that the last push waits for
+        # in_order_from: from when on the order of messages is reliable; rebalanced_at: the last move of tasks
+        # from one table to another
         self.queue_updated_at = self.in_order_from = self.rebalanced_at = 0
         self.next_tick_at = self.subscribe_failures = self.sums_at = self.first_join_at = (
             self.report_delay
         ) = self.queue_moved_at = 0
-        self.admitted_share = 1.0
+        self.admitted_share = 1.0  # of the work of all routes
         self.usual_in_flight = 1.0
-        self.usual_failure_share = 0.0
+        self.usual_failure_share = 0.0  # what the median call meets
         self.route_levels = {}
-        self.route_calls = {}
-        self.mean_size = 0.0
+        self.route_calls = {}  # since the levels were last updated
+        self.mean_size = 0.0  # of the first ready tasks, as listed
         self.retries_stopped = False
-        self.report_round = terms.report_period
-        # The most tasks that were ever ready; this assigner's part of the ready tasks
-        self.fleet_size = 1
-        self.own_tasks = []
+        self.report_round = terms.report_period  # the smoothed time between a task's reports
+        self.fleet_size = 1  # the most tasks that were ever ready
+        self.own_tasks = []  # this assigner's part of the ready tasks
         self.own_ids = frozenset()
-        self.part_size = 0.0
+        self.part_size = 0.0  # as a share of the ready tasks
 
     def handle(self, now, events):
         """Takes a batch of events and returns the orders that follow from it."""
@@ -184,6 +191,8 @@
         heapq.heappush(self.timers, (at, self.timer_serial, action, subject))
 
     def on_task_list(self, now, event):
+        """Applies a task list, where a full one implies that all other tasks are gone. Subscribes again if
+        the list was lost."""
         if event.form == "lost":
             # The backoff is randomised so that not all assigners subscribe at once.
             wait = (
@@ -205,16 +214,16 @@
     def on_task_line(self, now, line, shares):
         """Applies a line of the list. A task dropped during a drain stays draining. Where being dropped does
         not bind, it only counts as evidence against a ready task."""
-        known = self.lines.get(line.task)
+        old_line = self.lines.get(line.task)
         task = self.tasks.get(line.task)
-        state = known.state if known else "gone"
+        state = old_line.state if old_line else "gone"
         if line.state == "gone" and (state == "draining" or state == "ready" and not self.terms.gone_binds):
             if state == "ready":
                 task.fault_evidence = max(task.fault_evidence, UNLISTED_EVIDENCE)
                 self.registry.mark_unlisted(now, line.task)
             return
         if line.state == "ready":
-            if state == "ready" and line.started_at <= known.started_at:
+            if state == "ready" and line.started_at <= old_line.started_at:
                 task.unlisted = False
             else:
                 share = statistics.fmean(shares.get(line.kind) or [line.size / self.mean_size])
@@ -225,20 +234,21 @@
 
     def remove_departed(self, now, orders):
         """Forgets tasks that left so long ago that no proxy can hold their lines any more."""
-        for k in list(self.leaving):
-            gone = self.lines[k].state != "ready" or self.tasks[k].unlisted and self.tasks[k].ejected
+        for name in list(self.leaving):
+            gone = self.lines[name].state != "ready" or self.tasks[name].unlisted and self.tasks[name].ejected
             if (
                 gone
-                and now - self.changed_at[k] >= DEPARTED_LINE_TENTHS_MS
-                and not any(k in t.weights for t in self.tables)
+                and now - self.changed_at[name] >= DEPARTED_LINE_TENTHS_MS
+                and not any(name in t.weights for t in self.tables)
             ):
-                orders += [gp.Withdraw(k, False)] * (self.withdrawn.pop(k, None) is not None)
-                self.registry.remove(k)
+                orders += [gp.Withdraw(name, False)] * (self.withdrawn.pop(name, None) is not None)
+                self.registry.remove(name)
 
     def subscribe(self, now, _, orders):
         orders.append(gp.Watch())
 
     def on_proxy_joined(self, now, event):
+        """Adds a proxy, still unbound; one that is joined already is replaced."""
         if not (self.proxies if event.aside else self.channel_proxies):
             # The first to join. Whatever tables the proxies hold by chance count as even ones, in effect now.
             self.first_join_at = now
@@ -260,9 +270,10 @@
             self.acknowledge(now, lost, self.mark)
             # The stream broke before this event, so the latest acknowledgements prove nothing either.
             self.queue = self.unacknowledged
-        self.update_effective(now, event.proxy, self.mark)
+        self.confirm_pushes(now, event.proxy, self.mark)
 
     def remove_proxy(self, number):
+        """Removes a proxy and its binding; returns it, or None if it was not joined."""
         proxy = self.proxies.pop(number, None)
         _ = self.unbound_proxies.pop(number, None)
         if proxy:
@@ -278,6 +289,7 @@
         self.unbound_proxies |= {} if bound else {proxy.id: proxy}
 
     def on_applied(self, now, event):
+        """Handles an acknowledgement: the proxy has applied all its messages up to a mark."""
         if event.proxy in self.channel_proxies:
             self.acknowledge(now, self.channel_proxies[event.proxy], event.mark)
             if event.mark in self.sent_batches:
@@ -290,10 +302,11 @@
                 next(iter(self.sent_batches.values()))[2] <= self.written_lines - self.queue
             ):
                 del self.sent_batches[next(iter(self.sent_batches))]  # it has left the channel as a whole
-        self.update_effective(now, event.proxy, event.mark)
+        self.confirm_pushes(now, event.proxy, event.mark)
 
     def acknowledge(self, now, proxy, mark):
-        """Takes what a proxy has confirmed, all its messages up to a mark, off the queue's upper bound."""
+        """Removes what a proxy has confirmed, its messages up to a mark, from the unacknowledged lines, which
+        are the upper bound of the queue."""
         self.unacknowledged = max(0.0, self.unacknowledged - proxy.acknowledge(mark))
         self.queue_moved_at = now
         self.queue = min(self.queue, self.unacknowledged)
@@ -331,7 +344,7 @@
         """An empty table. Without orders proxies admit everything and try again as the terms say."""
         return Table(number, {k: (self.open_level, self.terms.tries) for k in range(len(self.terms.routes))})
 
-    def update_effective(self, now, proxy, mark):
+    def confirm_pushes(self, now, proxy, mark):
         """Records an acknowledgement. A push takes effect once all but a tenth of the calls follow it."""
         for kind, acknowledgements in list(self.awaited.items()):
             acknowledgements.acknowledge(proxy, mark)
@@ -340,6 +353,7 @@
                 _ = self.awaited.pop(kind)
 
     def on_task_sums(self, now, event):
+        """Collects the sums of a known task, unless they began long before the first proxy joined."""
         if event.task in self.tasks and event.span <= now - self.first_join_at + self.terms.report_period:
             self.sums_at = self.sums_at if self.pending_sums else now
             self.pending_sums.append(event)
@@ -437,10 +451,18 @@
             for t in self.observed()
             if now - t.reported_at < REPORT_VALID_ROUNDS * self.report_round
         )
-        upto = list(itertools.accumulate(calls for _, calls in recent))
-        return next((failing for (failing, _), c in zip(recent, upto, strict=True) if 2 * c >= upto[-1]), 0.0)
+        cumulative_calls = list(itertools.accumulate(calls for _, calls in recent))
+        return next(
+            (
+                failing
+                for (failing, _), c in zip(recent, cumulative_calls, strict=True)
+                if 2 * c >= cumulative_calls[-1]
+            ),
+            0.0,
+        )
 
     def on_probe_answered(self, now, event):
+        """Counts a probe as evidence, as long as the task is neither ejected nor merely slow."""
         task = self.tasks.get(event.task)
         if task is None or event.outcome in ("full", "other") or now - event.elapsed < task.ramp_from:
             return  # these outcomes say nothing about its calls, or the probe started before its restart
@@ -496,41 +518,50 @@
         """Multiplies each share by its task's smoothed headroom within bounds, then normalises the shares."""
         self.effective_at["weights"] = 0
         self.awaited.pop("weights", None)
-        usual = sum(t.total_latency(FAILURE_LATENCY_TENTHS_MS) for t in tasks) / sum(t.tries for t in tasks)
+        usual = sum(task.total_latency(FAILURE_LATENCY_TENTHS_MS) for task in tasks) / sum(
+            task.tries for task in tasks
+        )
         # Tasks listed as one kind are alike: a reading of few calls is pulled towards its kind's average.
-        kinds = {kind: [t for t in tasks if t.kind == kind] for kind in sorted({t.kind for t in tasks})}
+        kinds = {
+            kind: [task for task in tasks if task.kind == kind]
+            for kind in sorted({task.kind for task in tasks})
+        }
         # Before the first step, while proxies still follow tables ordered before this start, the calls that a
         # task gets show its share there.
         for same in (
             kinds.values() if any(not (p.bound or p.fresh) for p in self.channel_proxies.values()) else ()
         ):
-            mean = statistics.fmean(t.tries for t in same)
-            for t in same if not any(t.headroom for t in tasks) else ():
-                t.share = max(mean * (t.tries + PRIOR_ANSWERS) / (mean + PRIOR_ANSWERS), 1.0)
+            mean = statistics.fmean(task.tries for task in same)
+            for task in same if not any(task.headroom for task in tasks) else ():
+                task.share = max(mean * (task.tries + PRIOR_ANSWERS) / (mean + PRIOR_ANSWERS), 1.0)
         kind_latency = {
-            kind: (sum(t.total_latency(FAILURE_LATENCY_TENTHS_MS) for t in same) + PRIOR_ANSWERS * usual)
-            / (sum(t.tries for t in same) + PRIOR_ANSWERS)
+            kind: (
+                sum(task.total_latency(FAILURE_LATENCY_TENTHS_MS) for task in same) + PRIOR_ANSWERS * usual
+            )
+            / (sum(task.tries for task in same) + PRIOR_ANSWERS)
             for kind, same in kinds.items()
         }
-        for t in tasks:
+        for task in tasks:
             latest = (
-                (t.tries + PRIOR_ANSWERS)
-                / (t.total_latency(FAILURE_LATENCY_TENTHS_MS) + PRIOR_ANSWERS * kind_latency[t.kind])
-                / t.share**SHARE_EXPONENT
+                (task.tries + PRIOR_ANSWERS)
+                / (task.total_latency(FAILURE_LATENCY_TENTHS_MS) + PRIOR_ANSWERS * kind_latency[task.kind])
+                / task.share**SHARE_EXPONENT
             )
-            t.headroom = (
-                SMOOTHING_FACTOR * latest + (1 - SMOOTHING_FACTOR) * t.headroom if t.headroom else latest
+            task.headroom = (
+                SMOOTHING_FACTOR * latest + (1 - SMOOTHING_FACTOR) * task.headroom
+                if task.headroom
+                else latest
             )
-            t.reset_counts()
-        average = sum(t.share * t.headroom for t in tasks) / sum(t.share for t in tasks)
-        for t in tasks:
-            ratio = min(max(t.headroom / average, 1 / MAX_SHARE_DECREASE_RATIO), MAX_SHARE_INCREASE_RATIO)
+            task.reset_counts()
+        average = sum(task.share * task.headroom for task in tasks) / sum(task.share for task in tasks)
+        for task in tasks:
+            ratio = min(max(task.headroom / average, 1 / MAX_SHARE_DECREASE_RATIO), MAX_SHARE_INCREASE_RATIO)
             # The headroom was measured at the old share; unchanged, it would move the new one once more.
-            t.share = t.share * ratio
-            t.headroom = t.headroom / ratio
-        scale = len(tasks) / sum(t.share for t in tasks)
-        for t in tasks:
-            t.share = max(t.share * scale, MIN_SHARE_RATIO)
+            task.share = task.share * ratio
+            task.headroom = task.headroom / ratio
+        scale = len(tasks) / sum(task.share for task in tasks)
+        for task in tasks:
+            task.share = max(task.share * scale, MIN_SHARE_RATIO)
 
     def update_levels(self, tries, failures, latency):
         """Sets how much of each route is admitted where capacity is short, cutting the routes of the least
@@ -557,40 +588,49 @@
             self.route_levels[k] = round(1 - part, 2)
         self.route_calls = {}
 
-    def eject_and_readmit(self, now, known):
+    def eject_and_readmit(self, now, observed):
         """Ejects tasks that the test takes for faulty, the worst first; readmits those that have recovered.
 
-        Where nothing listens any more calls fail without an overload: the limit does not count such tasks.
+        The limit on ejections exempts tasks where nothing listens any more, as calls fail there without an
+        overload, and those that the list has dropped.
         """
-        lost = [t for t in known if t.last_probe == UNREACHABLE and t.reported_at > t.succeeded_at]
-        lost = lost * (len(lost) <= MAX_UNREACHABLE_SHARE * len(self.ready())) + [
-            t for t in known if t.unlisted
+        exempt = [
+            task
+            for task in observed
+            if task.last_probe == UNREACHABLE and task.reported_at > task.succeeded_at
+        ]
+        exempt = exempt * (len(exempt) <= MAX_UNREACHABLE_SHARE * len(self.ready())) + [
+            task for task in observed if task.unlisted
         ]
-        for t in known:
-            t.on_probation = t.on_probation and t.fault_evidence > 0
+        for task in observed:
+            task.on_probation = task.on_probation and task.fault_evidence > 0
             if (
-                t.ejected
-                and now >= t.ejected_until
-                and (t.probe_successes >= 2 or not self.terms.probes_allowed)
+                task.ejected
+                and now >= task.ejected_until
+                and (task.probe_successes >= 2 or not self.terms.probes_allowed)
             ):
-                t.readmit(EJECTION_EVIDENCE / 2)
-                self.notes.append(f"{t.id} is let back on trial")
-        ejected = sum(t.share for t in self.own_tasks if (t.ejected or t.on_probation) and t not in lost)
-        limit = MAX_EJECTED_SHARE * self.health() * sum(t.share for t in self.own_tasks)
-        for t in sorted(known, key=lambda t: -t.fault_evidence):
+                task.readmit(EJECTION_EVIDENCE / 2)
+                self.notes.append(f"{task.id} is let back on trial")
+        ejected = sum(
+            task.share
+            for task in self.own_tasks
+            if (task.ejected or task.on_probation) and task not in exempt
+        )
+        limit = MAX_EJECTED_SHARE * self.health() * sum(task.share for task in self.own_tasks)
+        for task in sorted(observed, key=lambda task: -task.fault_evidence):
             if (
-                not t.ejected
-                and t.fault_evidence >= EJECTION_EVIDENCE
-                and (t in lost or ejected + t.share <= limit)
+                not task.ejected
+                and task.fault_evidence >= EJECTION_EVIDENCE
+                and (task in exempt or ejected + task.share <= limit)
             ):
-                ejected += t.share * (t not in lost)
-                t.ejected_until = now + min(
-                    MIN_EJECTION_PERIODS * 2**t.ejections, MAX_EJECTION_PERIODS
-                ) * self.terms.report_period * (t not in lost)
-                t.ejected = True
-                t.probe_successes = 0
-                t.ejections = t.ejections + (t not in lost)
-                self.notes.append(f"{t.id} is taken out: it fails calls that others answer")
+                ejected += task.share * (task not in exempt)
+                task.ejected_until = now + min(
+                    MIN_EJECTION_PERIODS * 2**task.ejections, MAX_EJECTION_PERIODS
+                ) * self.terms.report_period * (task not in exempt)
+                task.ejected = True
+                task.probe_successes = 0
+                task.ejections = task.ejections + (task not in exempt)
+                self.notes.append(f"{task.id} is taken out: it fails calls that others answer")
 
     def health(self):
         """1 while few tasks fail, down to 0 in an overload: where the median call meets a third of failures,
@@ -619,18 +659,21 @@
         )
 
     def wanted_lines(self, now):
-        """The lines that should stand: table -> task -> weight, the average share being 1."""
+        """The lines that the tables should hold: table -> task -> weight, the average share being 1."""
         ready = self.ready()
         self.fleet_size = max(self.fleet_size, len(ready))
-        self.own_tasks = self.part(now, ready)
+        self.own_tasks = self.select_part(now, ready)
         self.own_ids = frozenset(t.id for t in self.own_tasks)
         for t in [t for t in self.own_tasks if self.terms.probes_allowed and not t.probe_scheduled]:
             t.probe_scheduled = True
             self.schedule(now + int(self.uniform(0, PROBE_INTERVAL_TENTHS_MS)), Brain.probe, t)
         assigned = self.assign_to_tables(now, self.own_tasks)
         health = self.health()
-        unfailing = 1 - max(self.usual_failure_share, self.failing_probe_share(), self.backlog() - 1)
-        # The calls of a task while the whole fleet is ready, and what each ready task gets in such units now
+        # Falls in proportion to the failures only, for proxies that rarely avoid a task
+        proportional_health = 1 - max(
+            self.usual_failure_share, self.failing_probe_share(), self.backlog() - 1
+        )
+        # The calls of a task while the whole fleet is ready; even: those of a ready task now, in such units
         task_calls = (
             max(self.call_rate, 0.1)
             * max(self.terms.proxies / max(len(self.channel_proxies), 1), 1)
@@ -639,7 +682,7 @@
         even = self.fleet_size / max(len(ready), 1)
         return {
             t: self.table_lines(
-                now, tasks, max(t.call_rate / task_calls, even * len(tasks)), health, unfailing
+                now, tasks, max(t.call_rate / task_calls, even * len(tasks)), health, proportional_health
             )
             for t, tasks in assigned.items()
         }
@@ -658,7 +701,7 @@
                 task.table = min(assigned, key=lambda t: len(assigned[t]))
             assigned[task.table].append(task)
         healthy = {t: [x for x in tasks if x.warm(now) and not x.ejected] for t, tasks in assigned.items()}
-        expected = self.call_rate / len(self.tables) / 4 + 0.1  # calls that a table may get by further binds
+        expected = self.call_rate / len(self.tables) / 4 + 0.1  # calls that any table may still get
         strength = {t: len(healthy[t]) / (t.call_rate + expected) for t in healthy}
         for weak in self.tables if len(self.tables) > 1 else ():
             strong = max(strength, key=strength.get)
@@ -680,7 +723,7 @@
                 strength |= {t: len(healthy[t]) / (t.call_rate + expected) for t in (weak, strong)}
         return assigned
 
-    def table_lines(self, now, assigned, load, health, unfailing):
+    def table_lines(self, now, assigned, load, health, proportional_health):
         """A table's lines: task -> weight. load: the table's calls in units of an average task's calls.
 
         A cold task gets as much of an even share as it can take. While many tasks fail it gets none, as all
@@ -698,7 +741,7 @@
         }
         health = max(
             health**2 * (health > MIN_HEALTH_FOR_COLD) if warm else 1.0,
-            unfailing if self.rarely_avoided(warm) else 0.0,
+            proportional_health if self.rarely_avoided(warm) else 0.0,
         )
         capacity = {t: self.cold_capacity(now, t) for t in tasks if not t.warm(now)}
         enough = warm or (
@@ -709,7 +752,7 @@
         total = sum(warm.values()) / (1 - min(cold_part, 0.9)) if warm else load
         return warm | {k: part * total for k, part in cold.items() if part * total >= MIN_WEIGHT_RATIO}
 
-    def part(self, now, ready):
+    def select_part(self, now, ready):
         """The ready tasks that this assigner orders: all, or a part where all take the channel too long.
 
         The part is as large as the share of the proxies that are joined, and with several tables it never
@@ -723,18 +766,20 @@
         if whole <= min(terms.queue_limit, MAX_BIND_ALL_S * terms.channel_lines) or size >= 1:
             return ready
         if self.task_order[0] is not ready:
-            named = sorted(ready, key=lambda t: t.id)
-            cut = round(len(ready) * terms.rank / terms.assigners)
+            by_id = sorted(ready, key=lambda t: t.id)
+            offset = round(len(ready) * terms.rank / terms.assigners)
             own_zone_first = terms.homed and terms.assigners >= terms.zones
             self.task_order = (
                 ready,
-                sorted(named[cut:] + named[:cut], key=lambda t: own_zone_first and t.zone != terms.zone),
+                sorted(
+                    by_id[offset:] + by_id[:offset], key=lambda t: own_zone_first and t.zone != terms.zone
+                ),
             )
         part = self.task_order[1][: math.ceil(len(ready) * size)]
         return part if any(t.warm(now) and not t.ejected for t in part) else ready
 
     def rarely_avoided(self, lines):
-        """Whether a proxy meets each task too seldom to avoid any, so that no others get crowded for it."""
+        """Whether a proxy calls each task too seldom to avoid any, which would crowd the others."""
         # The calls of a proxy to each task, with the further tries of those that fail
         calls = (
             self.call_rate
@@ -753,7 +798,8 @@
         return capacity * (age >= COLD_START_DELAY_PERIODS * self.terms.report_period)
 
     def emit(self, now, orders):
-        """The one place where the wanted and the present state are compared and the difference is ordered."""
+        """The one place where the wanted and the present state are compared and the difference is ordered:
+        lines and levels of the tables, then binds, then withdrawals for proxies that wait for their bind."""
         # Without acknowledgements the channel is taken to work off its queue at half its rate.
         silent_s = (
             (now - self.queue_updated_at) * (now - self.queue_moved_at > CHANNEL_SILENCE_TENTHS_MS) / SECOND
@@ -769,13 +815,14 @@
         # A proxy that has waited since before this may well hold lines of tasks that left.
         late_before = now - LATE_BIND_GRACE_SHARE * self.terms.grace
         joining = sorted(
-            self.unbound_proxies.values(), key=lambda p: (p.joined_at > late_before, -p.rate, p.id)
+            self.unbound_proxies.values(),
+            key=lambda proxy: (proxy.joined_at > late_before, -proxy.rate, proxy.id),
         )
         inheriting = now - self.first_join_at < INHERITED_TABLES_TENTHS_MS and not any(
             t.headroom for t in self.own_tasks
         )
-        keeping = [p for p in joining if inheriting and not p.fresh]
-        joining = [p for p in joining if not inheriting or p.fresh]
+        keeping = [proxy for proxy in joining if inheriting and not proxy.fresh]
+        joining = [proxy for proxy in joining if not inheriting or proxy.fresh]
         # Tries follow on proof that the call was not carried out, so that nothing is done twice; none follow
         # while most tasks fail, as they would feed the overload.
         self.retries_stopped = self.usual_failure_share > (
@@ -785,7 +832,7 @@
         levels = {
             k: (self.route_levels.get(k, self.open_level), tries) for k in range(len(self.terms.routes))
         }
-        start = self.written_lines
+        written_before = self.written_lines
         self.shortest_message = queue_limit
         reached = []
         complete = True
@@ -793,23 +840,27 @@
         drains_wait = False
         for table in sorted(self.tables, key=lambda t: t.pushed_at[2]):
             sent, changes = self.push_lines(now, table, wanted[table], joining, orders)
-            moved = [k for k in levels if levels[k] != table.levels.get(k)]
-            moved = moved if sent or self.fitting_changes(now, [(1,)] * len(moved), table) else []
-            notable = moved and (
+            changed_routes = [k for k in levels if levels[k] != table.levels.get(k)]
+            changed_routes = (
+                changed_routes
+                if sent or self.fitting_changes(now, [(1,)] * len(changed_routes), table)
+                else []
+            )
+            notable = changed_routes and (
                 self.admitted_share < 1 or table.levels and (table.levels_ordered or self.terms.tries)
             )
-            for level in sorted({levels[k] for k in moved}):
-                routes = tuple(k for k in moved if levels[k] == level)
+            for level in sorted({levels[k] for k in changed_routes}):
+                routes = tuple(k for k in changed_routes if levels[k] == level)
                 orders.append(gp.Admit(table.number, routes, *level))
                 table.levels_ordered = True
                 if notable and not levels_moved:
                     share = level[0] / self.open_level
                     self.notes.append(f"routes {routes} are let in at {share:.0%}, tried again {tries}")
-            table.levels = levels if moved else table.levels
-            if sent or moved:
+            table.levels = levels if changed_routes else table.levels
+            if sent or changed_routes:
                 self.shortest_message = min(
                     self.shortest_message,
-                    self.write(now, sent + len(moved), table.channel_proxies.values()),
+                    self.record_messages(now, sent + len(changed_routes), table.channel_proxies.values()),
                 )
                 reached += table.channel_proxies.values()
             complete = complete and sent == len(changes)
@@ -818,28 +869,28 @@
         total_weight = {t: sum(lines.values()) for t, lines in wanted.items()}
         # Binds never take a drain's room. Proxies with most calls go first; the others keep their tables.
         while joining:
-            p = joining[0]
-            late = p.joined_at <= late_before
-            table = max(self.tables, key=lambda t: total_weight[t] / (t.call_rate + p.rate))
+            proxy = joining[0]
+            late = proxy.joined_at <= late_before
+            table = max(self.tables, key=lambda t: total_weight[t] / (t.call_rate + proxy.rate))
             lines = len(table.weights) + len(levels) * table.levels_ordered + 1
             if self.queue + lines + self.terms.head_lines + 1 > bind_limits[late and not drains_wait]:
                 break
-            orders.append(gp.Bind(p.id, table.number))
-            self.bind(p, True, table)
-            self.shortest_message = min(self.shortest_message, self.write(now, lines, [p]))
-            reached += [joining.pop(0)] * (not p.external)
-        waiting = [p for p in joining + keeping if not p.external]
+            orders.append(gp.Bind(proxy.id, table.number))
+            self.bind(proxy, True, table)
+            self.shortest_message = min(self.shortest_message, self.record_messages(now, lines, [proxy]))
+            reached += [joining.pop(0)] * (not proxy.external)
+        waiting = [proxy for proxy in joining + keeping if not proxy.external]
         ask_all = bool(waiting) and self.withdraw_departed(now, waiting, bool(keeping), orders)
-        if self.written_lines > start:
+        if self.written_lines > written_before:
             self.mark = (self.mark + 1) % 65_536
             orders.append(gp.Seal(self.mark, ask_all))
-            self.sent_batches[self.mark] = [start, self.shortest_message, self.written_lines]
+            self.sent_batches[self.mark] = [written_before, self.shortest_message, self.written_lines]
         if levels_moved:
             self.effective_at["levels"] = 0
             self.awaited["levels"] = PushAcknowledgements().expect(reached, self.mark, True)
         if not self.effective_at["weights"]:
             self.awaited.setdefault("weights", PushAcknowledgements()).expect(reached, self.mark, complete)
-        self.update_effective(now, None, self.mark)  # if no change was worth sending, the last push stands
+        self.confirm_pushes(now, None, self.mark)  # if no change was worth sending, the last push remains
 
     def push_lines(self, now, table, lines, joining, orders):
         """Orders the lines of a table that differ, most urgent first, as far as pace and channel allow.
@@ -848,34 +899,34 @@
         """
         weights = table.weights
         changes = []
-        bare = not any(weight and k in lines for k, weight in weights.items())
-        for k in weights:
-            # If the list has become empty and being dropped from it does not bind, the last table stands.
-            if k not in lines and (lines or self.terms.gone_binds or self.lines[k].state == "draining"):
-                task = self.tasks[k]
-                deferrable = weights[k] < math.inf and self.lines[k].state == "ready"
+        no_line_remains = not any(weight and name in lines for name, weight in weights.items())
+        for name in weights:
+            # If the list has become empty and being dropped from it does not bind, the last table is kept.
+            if name not in lines and (lines or self.terms.gone_binds or self.lines[name].state == "draining"):
+                task = self.tasks[name]
+                deferrable = weights[name] < math.inf and self.lines[name].state == "ready"
                 changes.append(
-                    (deferrable * (1 if task.ejected or not task.warm(now) else 2), -weights[k], k, 0.0)
+                    (deferrable * (1 if task.ejected or not task.warm(now) else 2), -weights[name], name, 0.0)
                 )
-        for k, weight in lines.items():
+        for name, weight in lines.items():
             # Cold lines shrink early and grow last: while warm ones are missing, they get more calls.
-            old = weights.get(k, 0.0)
-            warm = self.tasks[k].warm(now)
-            if not old and (warm or bare):
-                changes.append((int(not bare), -weight, k, weight))
+            old = weights.get(name, 0.0)
+            warm = self.tasks[name].warm(now)
+            if not old and (warm or no_line_remains):
+                changes.append((int(not no_line_remains), -weight, name, weight))
             elif old == math.inf or abs(weight - old) > MIN_WEIGHT_CHANGE_RATIO * old:
                 urgency = (old < math.inf) * (1 if weight < old and not warm else 2)
-                changes.append((urgency, -abs(weight - old) * (warm or weight < old), k, weight))
+                changes.append((urgency, -abs(weight - old) * (warm or weight < old), name, weight))
         changes.sort()
         sent = self.fitting_changes(now, changes, table)
-        for urgency, _, k, weight in changes[:sent]:
+        for urgency, _, name, weight in changes[:sent]:
             table.pushed_at[urgency] = now if table.channel_proxies else table.pushed_at[urgency]
-            if weight and self.withdrawn.pop(k, None) is not None:
-                orders.append(gp.Withdraw(k, False))
-                self.write(now, 1, joining)
-            orders.append(gp.SetLine(table.number, k, round(weight, 3)))
-            table.set_weight(k, weight)
-            self.changed_at[k] = self.changed_at[k] if weight else now
+            if weight and self.withdrawn.pop(name, None) is not None:
+                orders.append(gp.Withdraw(name, False))
+                self.record_messages(now, 1, joining)
+            orders.append(gp.SetLine(table.number, name, round(weight, 3)))
+            table.set_weight(name, weight)
+            self.changed_at[name] = self.changed_at[name] if weight else now
         return sent, changes
 
     def withdraw_departed(self, now, waiting, keeping, orders):
@@ -884,31 +935,38 @@
         keeping: some of them keep older tables on purpose. Returns whether all proxies must acknowledge.
         """
         head = self.terms.head_lines + 1
-        binding = ("draining", "gone" if self.terms.gone_binds else "draining")
-        lines = statistics.fmean(len(t.weights) for t in self.tables) + len(self.terms.routes) + 1 + head
-        ends = max(INHERITED_TABLES_TENTHS_MS - now + self.first_join_at, 0) if keeping else 0
-        ends += (self.queue + len(waiting) * lines) / self.terms.channel_lines * SECOND
-        if ends <= BIND_DEADLINE_GRACE_SHARE * self.terms.grace - now + min(p.joined_at for p in waiting):
+        binding_states = ("draining", "gone" if self.terms.gone_binds else "draining")
+        bind_lines = statistics.fmean(len(t.weights) for t in self.tables) + len(self.terms.routes) + 1 + head
+        binds_end_in = max(INHERITED_TABLES_TENTHS_MS - now + self.first_join_at, 0) if keeping else 0
+        binds_end_in += (self.queue + len(waiting) * bind_lines) / self.terms.channel_lines * SECOND
+        if binds_end_in <= BIND_DEADLINE_GRACE_SHARE * self.terms.grace - now + min(
+            p.joined_at for p in waiting
+        ):
             return False
         room = int((PUSH_QUEUE_SHARES[0] * self.terms.queue_limit - self.queue) / len(waiting) - head)
-        # Only tasks whose line stands in no table and was not removed just now: otherwise the withdrawal
-        # would cost the bound proxies a message as well. One that is repeated goes to all who wait.
+        # Only tasks that have no line in any table and whose line was not removed just now: otherwise the
+        # withdrawal would cost the bound proxies a message too. One that is repeated goes to all who wait.
         withdrawn = self.withdrawn
         late_before = now - LATE_BIND_GRACE_SHARE * self.terms.grace
-        due = [
+        to_withdraw = [
             k
             for k in sorted(self.leaving, key=self.changed_at.get)
             if 0 < now - self.changed_at[k] < DEPARTED_LINE_TENTHS_MS
-            and self.lines[k].state in binding
+            and self.lines[k].state in binding_states
             and not any(k in t.weights for t in self.tables)
             and (not withdrawn.get(k) or any(withdrawn[k] < p.joined_at <= late_before for p in waiting))
         ]
-        due = due if room >= len(due) else due[: max(room, 0)] * (room >= head)  # those that left first
-        if not due or not keeping and len(due) + head > lines:
+        # If there is not enough room for all, those that left first
+        to_withdraw = (
+            to_withdraw if room >= len(to_withdraw) else to_withdraw[: max(room, 0)] * (room >= head)
+        )
+        if not to_withdraw or not keeping and len(to_withdraw) + head > bind_lines:
             return False  # where it costs more than the binds it would only delay them
-        orders += [gp.Withdraw(k, True) for k in due]
-        withdrawn |= dict.fromkeys(due, max(now, 1))
-        self.shortest_message = min(self.shortest_message, head, self.write(now, len(due), waiting))
+        orders += [gp.Withdraw(k, True) for k in to_withdraw]
+        withdrawn |= dict.fromkeys(to_withdraw, max(now, 1))
+        self.shortest_message = min(
+            self.shortest_message, head, self.record_messages(now, len(to_withdraw), waiting)
+        )
         # A proxy that holds none of these lines gets no message and would acknowledge nothing: lines that
         # were never in the channel would count in the queue and delay the next withdrawals. So all proxies
         # are asked to acknowledge.
@@ -918,25 +976,27 @@
             self.queue + head * len(others) <= PUSH_QUEUE_SHARES[0] * self.terms.queue_limit
             and not any(self.push_blocked(now, 0, table) for table in self.tables)
         )
-        self.write(now, 0, others if ask_all else [])
+        self.record_messages(now, 0, others if ask_all else [])
         return ask_all
 
     def fitting_changes(self, now, changes, table):
         """How many of the sorted changes may be ordered now, by push interval, queue and message cap."""
         fit = 0
         head = self.terms.head_lines + 1
-        users = len(table.channel_proxies)
+        proxy_count = len(table.channel_proxies)
         limit = self.terms.queue_limit
         for urgency in range(3):
-            upto = sum(c[0] <= urgency for c in changes)
-            if upto <= fit or self.push_blocked(now, urgency, table):
+            eligible = sum(c[0] <= urgency for c in changes)
+            if eligible <= fit or self.push_blocked(now, urgency, table):
                 continue
-            fit = fit if users else upto
-            if users and (fit or self.queue <= PUSH_START_QUEUE_S[urgency] * self.terms.channel_lines):
-                most = PUSH_MAX_QUEUE_S * self.terms.channel_lines if urgency else limit
-                room = int((min(PUSH_QUEUE_SHARES[urgency] * limit, most) - self.queue) / users - head)
+            fit = fit if proxy_count else eligible
+            if proxy_count and (fit or self.queue <= PUSH_START_QUEUE_S[urgency] * self.terms.channel_lines):
+                max_queue = PUSH_MAX_QUEUE_S * self.terms.channel_lines if urgency else limit
+                room = int(
+                    (min(PUSH_QUEUE_SHARES[urgency] * limit, max_queue) - self.queue) / proxy_count - head
+                )
                 # A part of them only if its lines outweigh the heads, which would otherwise fill the channel.
-                fit = upto if room >= upto else max(fit, room * (room >= head or urgency == 2))
+                fit = eligible if room >= eligible else max(fit, room * (room >= head or urgency == 2))
         return fit
 
     def push_blocked(self, now, urgency, table):
@@ -949,8 +1009,8 @@
         )
         return capped or now - table.pushed_at[urgency] < PUSH_INTERVALS_TENTHS_MS[urgency]
 
-    def write(self, now, lines, proxies):
-        """Adds a message with these lines to each proxy to the queue; returns a message's cost in lines."""
+    def record_messages(self, now, lines, proxies):
+        """Adds a message of so many lines for each proxy to the queue; returns its cost in lines."""
         cost = lines + self.terms.head_lines + 1  # 1: the line that asks for an acknowledgement
         self.queue_moved_at = self.queue_moved_at if self.queue else now
         proxies = [p for p in proxies if not p.external]
--- a/garnetpaddle/state.py
+++ b/garnetpaddle/state.py
@@ -24,13 +24,13 @@
         self.probe_successes = 0
         self.reported_at = NEVER
         self.succeeded_at = NEVER
-        # Smoothed values: failure_share, mean_tries (per report), mean_latency. fault_evidence is the log of
-        # the odds that the task is faulty.
+        # Smoothed values: failure_share, mean_tries (per report), mean_latency. fault_evidence is the
+        # log-likelihood ratio of a faulty task to one that fails as is usual at present.
         self.headroom = self.failure_share = self.mean_tries = self.fault_evidence = self.mean_latency = (
             self.busy_share
         ) = self.in_flight = 0.0
         self.ejected = self.on_probation = self.slow = self.unlisted = False
-        self.observed = self.probe_scheduled = False  # observed: any report, probe or list has said something
+        self.observed = self.probe_scheduled = False  # observed: by a report, a probe or a list without it
         self.table = None  # the table that holds its line
         self.reset_counts()
 
@@ -66,7 +66,7 @@
 
 
 class Proxy:
-    """A proxy, or with `external` a follower outside the channel.
+    """A proxy, or with `external` a follower outside the channel. `fresh`: it holds no ordered table.
 
     An external follower gets the same lines. It sends no reports, its messages and acknowledgements do not
     count in the channel's queue, and no adjustment waits for its acknowledgement, so it may stall.
