--- a/garnetpaddle/__main__.py
+++ b/garnetpaddle/__main__.py
@@ -1,4 +1,4 @@
-"""The command line: `serve` by itself, in as little memory as it can be; all the rest on click."""
+"""The command line: `serve` without click, to save memory and start-up time; all other commands with it."""
 
 import os
 import sys
@@ -7,7 +7,7 @@
 
 startup_signals = StartupSignals()
 if __name__ == "__main__" and sys.argv[1:2] == ["serve"]:
-    startup_signals.install()  # before any further import: each of them takes time
+    startup_signals.install()  # before any other import, since imports take time
 
 from typing import NamedTuple  # noqa: E402
 
@@ -16,23 +16,23 @@
     """The options of `serve`."""
 
     trace: bool = False
-    operator: str | None = None  # path of the operator's own file
+    operator: str | None = None  # path of the operator's configuration file
 
 
 def parse_serve(arguments):
-    """The options of a `serve` that needs no help, or None where click has to look at them.
+    """The options of `serve`, or None if click has to parse them (help, errors).
 
-    click costs 4 MB and a fifth of the start, and on the platform `serve` is all that is ever run.
+    click takes 4 MB and a fifth of the start-up time, and the platform runs no other command than `serve`.
     """
-    options, rest = ServeOptions(operator=os.environ.get("GARNET_OPERATOR") or None), list(arguments)
-    while rest:
-        word = rest.pop(0)
-        if word == "--trace":
+    options, remaining = ServeOptions(operator=os.environ.get("GARNET_OPERATOR") or None), list(arguments)
+    while remaining:
+        argument = remaining.pop(0)
+        if argument == "--trace":
             options = options._replace(trace=True)
-        elif word.startswith("--operator=") and word != "--operator=":
-            options = options._replace(operator=word.removeprefix("--operator="))
-        elif word == "--operator" and rest and not rest[0].startswith("-"):
-            options = options._replace(operator=rest.pop(0))
+        elif argument.startswith("--operator=") and argument != "--operator=":
+            options = options._replace(operator=argument.removeprefix("--operator="))
+        elif argument == "--operator" and remaining and not remaining[0].startswith("-"):
+            options = options._replace(operator=remaining.pop(0))
         else:
             return None
     return options
--- a/garnetpaddle/boot/__init__.py
+++ b/garnetpaddle/boot/__init__.py
@@ -1,9 +1,9 @@
-"""Decoding of the start-up settings and of task list entries, for the socket and the simulator hosts.
+"""Decoding of the start-up settings and task list entries, shared by garnetpaddle.net and the simulator host.
 
-Settings is the decoded settings object; terms() derives the decisions' parameters from it."""
+Settings is the decoded settings object; terms() derives the Brain's parameters from it."""
 
 from garnetpaddle.boot.parsing import UnknownValue, lookup, tenths
 from garnetpaddle.boot.settings import Settings, terms
-from garnetpaddle.boot.task_list import load, task_line
+from garnetpaddle.boot.task_list import make_task_line, normalize_load
 
-__all__ = ["Settings", "UnknownValue", "load", "lookup", "task_line", "tenths", "terms"]
+__all__ = ["Settings", "UnknownValue", "lookup", "make_task_line", "normalize_load", "tenths", "terms"]
--- a/garnetpaddle/boot/settings.py
+++ b/garnetpaddle/boot/settings.py
@@ -1,6 +1,6 @@
-"""The settings object that an assigner receives at its start, with the field names of the wire.
+"""The settings object that an assigner receives at its start, with the field names of the JSON file.
 
-terms() derives the parameters of the decisions from it. Unknown keys are ignored."""
+terms() derives the Brain's parameters from it. Unknown keys are ignored."""
 
 import msgspec
 
@@ -14,7 +14,7 @@
     promise: float  # s: the latency objective
     name: str
     gain: float = 1.0
-    effect: str = ""  # whether a call may be repeated; read by the advice front ends alone
+    effect: str = ""  # whether a call may be repeated; read only by the front ends
 
 
 class Ceilings(msgspec.Struct):
@@ -24,7 +24,7 @@
 
 
 class Contract(msgspec.Struct):
-    """Behaviour of tasks and deadlines that the assigner has to keep; durations in seconds."""
+    """Behaviour of tasks, and deadlines for the assigner; durations in seconds."""
 
     start_capacity: float
     fall_multiple: float
@@ -52,13 +52,13 @@
 
 
 class Reporting(msgspec.Struct):
-    """Whether and how tasks report their load."""
+    """How tasks report their load, if at all."""
 
     how: str = "none"
 
 
 class Settings(msgspec.Struct):
-    """The whole settings object."""
+    """The settings object."""
 
     categories: list[Category]
     ceilings: Ceilings
@@ -74,10 +74,10 @@
 
 
 def terms(settings):
-    """The parameters of the decisions (interface.Terms); raises UnknownValue for what is not supported."""
+    """The Brain's parameters (interface.Terms); raises UnknownValue for an unsupported setting."""
     channel, contract = settings.specifics, settings.contract
     if channel.ranges:
-        # Slices are not supported: no deployment has them yet.
+        # Ranges (slices) are not supported: no deployment has them yet.
         raise UnknownValue("specifics.ranges", channel.ranges)
     return gp.Terms(
         routes=tuple(gp.Route(c.gain, tenths(c.promise)) for c in settings.categories),
--- a/garnetpaddle/net/__init__.py
+++ b/garnetpaddle/net/__init__.py
@@ -1,1 +1,1 @@
-"""The assigner on sockets: transport alone. Every decision is garnetpaddle.brain's."""
+"""The assigner's network transport. All decisions are made by garnetpaddle.brain."""
--- a/garnetpaddle/net/configuration.py
+++ b/garnetpaddle/net/configuration.py
@@ -5,8 +5,8 @@
 from garnetpaddle import boot
 from garnetpaddle.net.task_list_codec import TaskList, task_lines
 
-UPPER_LIMIT = 1e12  # far above any count, rate or time in seconds that makes sense
-VARIABLES = {"ROUTER_NAME": "name", "ROUTER_LISTEN": "listen", "ROUTER_DISCOVERY": "discovery"}
+UPPER_LIMIT = 1e12  # far above any meaningful count, rate or time in seconds
+FIELD_OF_VARIABLE = {"ROUTER_NAME": "name", "ROUTER_LISTEN": "listen", "ROUTER_DISCOVERY": "discovery"}
 MAX_PORT = 65_535
 
 
@@ -17,13 +17,13 @@
 
 
 class Store(msgspec.Struct):
-    """The relay."""
+    """The relay that the orders are sent to."""
 
     address: str
 
 
 class Configuration(msgspec.Struct):
-    """The whole file; `settings` is the object that the simulator's first message carries."""
+    """The whole file; `settings` has the same type as in the simulator's BOOT message."""
 
     name: str
     listen: str
@@ -39,63 +39,63 @@
     """The configuration is invalid; the message names the field."""
 
 
-def address(text, field):
+def parse_address(text, field):
     """Parses host:port into (host, port); raises Wrong naming the field."""
     host, _, port = text.rpartition(":")
     if not host or not port.isascii() or not port.isdigit() or int(port) > MAX_PORT:
-        raise Wrong(f"field {field}: {text!r} is no host:port")
+        raise Wrong(f"field {field}: {text!r} is not of the form host:port")
     return host.strip("[]"), int(port)
 
 
 def read(path, variables):
-    """Reads and checks the file at a path; raises Wrong. variables: the environment it must agree with."""
+    """Reads and validates a file; raises Wrong. variables: the environment, which must agree with it."""
     try:
         with open(path, "rb") as file:
-            found = msgspec.json.decode(file.read(), type=Configuration)
+            config = msgspec.json.decode(file.read(), type=Configuration)
     except OSError as error:
         raise Wrong(f"ROUTER_CONFIG: {path!r}: {error.strerror}") from None
     except msgspec.DecodeError as error:
         raise Wrong(f"ROUTER_CONFIG: {error}") from None
-    for variable, field in VARIABLES.items():
-        value = variables.get(variable, getattr(found, field))
-        if value != getattr(found, field):
-            raise Wrong(f"{variable}: {value!r} is not the file's {field}, {getattr(found, field)!r}")
+    for variable, field in FIELD_OF_VARIABLE.items():
+        value = variables.get(variable, getattr(config, field))
+        if value != getattr(config, field):
+            raise Wrong(f"{variable}: {value!r} differs from {field} in the file, {getattr(config, field)!r}")
     try:
-        check(found)
+        validate(config)
     except Wrong:
         raise
     except (ValueError, OverflowError) as error:
         raise Wrong(str(error)) from None
-    return found
+    return config
 
 
-def check(configuration):
+def validate(configuration):
     """Raises Wrong or ValueError for the first invalid value."""
-    seed(configuration)
+    parse_seed(configuration)
     for field in ("listen", "discovery"):
-        address(getattr(configuration, field), field)
-    address(configuration.store.address, "store.address")
+        parse_address(getattr(configuration, field), field)
+    parse_address(configuration.store.address, "store.address")
     task_lines(configuration.known)
-    check_ranges(configuration)
-    check_consistency(configuration.settings)
+    validate_ranges(configuration)
+    validate_consistency(configuration.settings)
     boot.terms(configuration.settings)
 
 
-def check_ranges(configuration):
+def validate_ranges(configuration):
     """Raises Wrong for a number outside its range."""
     for field, value in positive_numbers(configuration).items():
         if not 0 < value < UPPER_LIMIT:
-            raise Wrong(f"field {field}: {value!r} is not above 0 and under {UPPER_LIMIT:.0e}")
+            raise Wrong(f"field {field}: {value!r} must be above 0 and below {UPPER_LIMIT:.0e}")
     for field, value in non_negative_numbers(configuration.settings).items():
         if not 0 <= value < UPPER_LIMIT:
-            raise Wrong(f"field {field}: {value!r} is not from 0 to under {UPPER_LIMIT:.0e}")
+            raise Wrong(f"field {field}: {value!r} must be at least 0 and below {UPPER_LIMIT:.0e}")
     quantum = configuration.settings.quantum
     if not 0 <= quantum < 1:
-        raise Wrong(f"field settings.quantum: {quantum!r} is not from 0 to under 1")
+        raise Wrong(f"field settings.quantum: {quantum!r} must be at least 0 and below 1")
 
 
 def positive_numbers(configuration):
-    """field -> value of the numbers that must be above 0."""
+    """Numbers that must be above 0: field -> value."""
     settings, channel = configuration.settings, configuration.settings.specifics
     return {
         "settings.specifics.egress_per_s": channel.egress_per_s,
@@ -107,7 +107,7 @@
 
 
 def non_negative_numbers(settings):
-    """field -> value of the numbers that may be 0."""
+    """Numbers that must be 0 or above: field -> value."""
     channel, contract = settings.specifics, settings.contract
     return {
         "settings.contract.cold": contract.cold,
@@ -124,26 +124,26 @@
     } | {f"settings.categories[{k}].gain": c.gain for k, c in enumerate(settings.categories)}
 
 
-def check_consistency(settings):
+def validate_consistency(settings):
     """Raises Wrong for settings that contradict each other."""
     if not settings.categories:
-        raise Wrong("field settings.categories: empty")
+        raise Wrong("field settings.categories: must not be empty")
     if settings.discovery not in ("push", "ask"):
         raise Wrong(f"field settings.discovery: unknown value {settings.discovery!r}")
     if settings.rank >= max(settings.balancers, 1):
         raise Wrong(
-            f"field settings.rank: {settings.rank} of {settings.balancers} balancers, which count from 0"
+            f"field settings.rank: {settings.rank} is too high: {settings.balancers} balancers count from 0"
         )
     names = [c.name for c in settings.categories]
-    for field, listed in (("settings.categories", names), ("settings.azs", settings.azs)):
-        if twice := sorted({each for each in listed if listed.count(each) > 1}):
-            raise Wrong(f"field {field}: {twice[0]!r} is named twice")
+    for field, values in (("settings.categories", names), ("settings.azs", settings.azs)):
+        if duplicates := sorted({value for value in values if values.count(value) > 1}):
+            raise Wrong(f"field {field}: {duplicates[0]!r} occurs more than once")
     if settings.azs and settings.my_zone and settings.my_zone not in settings.azs:
-        raise Wrong(f"field settings.my_zone: {settings.my_zone!r} is none of settings.azs")
+        raise Wrong(f"field settings.my_zone: {settings.my_zone!r} is not one of settings.azs")
 
 
-def seed(configuration):
-    """The seed as a number; raises Wrong."""
+def parse_seed(configuration):
+    """The hexadecimal seed as an integer; raises Wrong."""
     try:
         return int(configuration.seed, 16)
     except ValueError:
--- a/garnetpaddle/net/decision_loop.py
+++ b/garnetpaddle/net/decision_loop.py
@@ -1,4 +1,4 @@
-"""The task that owns the Brain: events reach it through a queue, orders leave through handlers."""
+"""The event loop task that runs the Brain: queues its events and dispatches its orders to handlers."""
 
 import asyncio
 import heapq
@@ -14,30 +14,30 @@
 
 
 class ScheduledTimer(NamedTuple):
-    """A timer of the Brain; the serial keeps timers of one moment in their order."""
+    """A timer of the Brain; `serial` keeps timers of the same time in the order in which they were set."""
 
     at: int
     serial: int
     key: str
 
 
-def clock():
-    """A function that returns the time: tenths of a ms since the epoch, unaffected by steps of the system's
-    clock. It shares its zero with the start times of the task list."""
-    start, zero = time.time(), time.monotonic()
-    return lambda: int((start + time.monotonic() - zero) * TENTHS_OF_MS_PER_SECOND)
+def make_clock():
+    """Returns a clock function: tenths of a ms since the epoch, as in the task list's start times, but
+    unaffected by steps of the system clock."""
+    start, monotonic_start = time.time(), time.monotonic()
+    return lambda: int((start + time.monotonic() - monotonic_start) * TENTHS_OF_MS_PER_SECOND)
 
 
 class DecisionLoop:
-    """Hands batches of events to the Brain and dispatches its orders.
+    """Passes batches of events to the Brain and dispatches its orders.
 
-    now: the clock; handlers: an object with table(reply), probe(order) and watch(); quantum: seconds within
-    which events are batched; trace: print every event and order; after: called with (now, events, orders)
-    once a batch is dispatched."""
+    now: the clock; handlers: an object with submit(orders), probe(order) and watch(); quantum: seconds for
+    which events are collected into a batch; trace: print every event and order; on_batch: called with
+    (now, events, orders) after each batch."""
 
-    def __init__(self, brain, now, handlers, quantum=0.0, trace=False, after=None):
+    def __init__(self, brain, now, handlers, quantum=0.0, trace=False, on_batch=None):
         self.brain, self.now, self.handlers, self.quantum, self.trace = brain, now, handlers, quantum, trace
-        self.after = after
+        self.on_batch = on_batch
         self.pending, self.wake, self.timers, self.serial = [], asyncio.Event(), [], 0
 
     def publish(self, event):
@@ -46,7 +46,7 @@
         self.wake.set()
 
     async def run(self):
-        """Runs batches for ever, as events arrive and timers fall due."""
+        """Runs batches forever, whenever events arrive or timers are due."""
         while True:
             self.run_batch()
             try:
@@ -57,13 +57,13 @@
                 pass
 
     def seconds_to_next_timer(self):
-        """None where no timer is set."""
+        """Seconds, or None if no timer is set."""
         if not self.timers:
             return None
         return (self.timers[0].at - self.now()) / TENTHS_OF_MS_PER_SECOND
 
     def run_batch(self):
-        """One batch: all queued events and the timers that are due."""
+        """Processes one batch: all queued events and the timers that are due."""
         now = self.now()
         events, self.pending = self.pending, []
         self.wake.clear()
@@ -73,12 +73,12 @@
         if self.trace:
             print_trace(now, events, orders)
         self.dispatch(orders)
-        if self.after:
-            self.after(now, events, orders)
+        if self.on_batch:
+            self.on_batch(now, events, orders)
 
     def dispatch(self, orders):
-        """Carries out each order, or hands it to its handler; orders for the relay go together, last."""
-        reply = []
+        """Executes each order or calls its handler; orders for the relay are submitted together, last."""
+        relay_orders = []
         for order in orders:
             match order:
                 case gp.Timer():
@@ -91,13 +91,13 @@
                 case gp.Watch():
                     self.handlers.watch()
                 case _:
-                    reply.append(order)
-        if reply:
-            self.handlers.table(reply)
+                    relay_orders.append(order)
+        if relay_orders:
+            self.handlers.submit(relay_orders)
 
 
 def print_trace(now, events, orders):
-    """Prints a batch, timers aside."""
-    for each in (*events, *orders):
-        if not isinstance(each, gp.TimerDue | gp.Timer):
-            print(f"trace {now} {each}", flush=True)
+    """Prints the events and orders of a batch except timers."""
+    for item in (*events, *orders):
+        if not isinstance(item, gp.TimerDue | gp.Timer):
+            print(f"trace {now} {item}", flush=True)
--- a/garnetpaddle/net/event_stream.py
+++ b/garnetpaddle/net/event_stream.py
@@ -9,7 +9,7 @@
 
 
 class StreamEvent(NamedTuple):
-    """An event's type and the decoded fields of its form-encoded data; a comment has no type."""
+    """An event: its type (empty for a comment) and the fields of its form-encoded data."""
 
     kind: str
     fields: dict[str, str]
@@ -19,22 +19,22 @@
 
 
 class EventStreamParser:
-    """Bytes in, StreamEvents out."""
+    """Incremental parser: chunks of bytes in, StreamEvents out."""
 
     def __init__(self):
         self.lines, self.first_line = LineSplitter(EVENT_STREAM_LINE_END, MAX_EVENT_BYTES), True
         self.reset_event()
 
     def reset_event(self):
-        """Begins the next event."""
+        """Clears the state for the next event."""
         self.kind, self.data, self.size = "message", [], 0
 
     def too_long(self):
-        """Whether the unfinished line or event exceeds the limit."""
+        """Whether the incomplete line or event exceeds the limit."""
         return self.lines.too_long or self.size > MAX_EVENT_BYTES
 
     def feed(self, chunk):
-        """The events that a chunk completes."""
+        """Yields the events that a chunk completes."""
         for line in self.lines.split(chunk):
             text = str(line, "utf-8", "replace")
             if self.first_line:
@@ -48,10 +48,10 @@
             elif text.startswith(":"):
                 yield KEEP_ALIVE
             else:
-                self.take_field(text, len(line))
+                self.add_field(text, len(line))
 
-    def take_field(self, text, size):
-        """One `name: value` line."""
+    def add_field(self, text, size):
+        """Handles one `name: value` line."""
         name, _, value = text.partition(":")
         value = value.removeprefix(" ")
         if name == "event":
--- a/garnetpaddle/net/event_subscription.py
+++ b/garnetpaddle/net/event_subscription.py
@@ -1,4 +1,4 @@
-"""Subscription to the relay's event stream: which proxies are joined and what they have applied."""
+"""Subscription to the relay's event stream: which proxies are joined and which seals they have applied."""
 
 import asyncio
 
@@ -11,11 +11,11 @@
 from garnetpaddle.net.proxy_membership import ProxyMembership, StreamView
 
 PATH = "/v1/events"
-SILENCE_TIMEOUT = 2.5  # s without a byte, where a keep-alive comes each second: the stream is dead
-INITIAL_LIST_TIME = 0.5  # s after which a keep-alive means that all joined proxies have been named
+SILENCE_TIMEOUT = 2.5  # s without a byte after which the stream counts as dead; keep-alives come every second
+INITIAL_LIST_TIME = 0.5  # s after opening; the first later keep-alive ends the initial list of proxies
 CONNECT_TIMEOUT = 0.5  # s
-BACKOFF = (0.0, 0.05, 0.1, 0.2, 0.4)  # s before the stream is opened again, by failures in a row
-NO_ROUTES = message_codec.KnownNames({})  # this stream's events name no route
+BACKOFF = (0.0, 0.05, 0.1, 0.2, 0.4)  # s before the stream is reopened, by consecutive failures
+NO_ROUTES = message_codec.KnownNames({})  # events of this stream contain no route
 MAX_LOGGED_KIND, MAX_LOGGED_ERROR = 40, 80  # characters
 log = structlog.get_logger()
 
@@ -31,14 +31,14 @@
         self.stream_task, self.move_task = None, None
 
     def move(self, address):
-        """Opens a stream at another address; the present one is followed until the new one is complete."""
+        """Moves to another address; the current stream is followed until the new one is complete."""
         if self.move_task:
             self.move_task.cancel()
         self.move_task = asyncio.get_running_loop().create_task(self.retry_move(address))
 
     async def retry_move(self, address):
-        """Tries to move until it succeeds, whatever it fails by."""
-        this_task, tries, logged = asyncio.current_task(), 0, None
+        """Retries a move until it succeeds, whatever the error."""
+        this_task, attempts, logged = asyncio.current_task(), 0, None
         while True:
             try:
                 why = await self.follow(address)
@@ -46,14 +46,14 @@
                 log.exception("move_failed", field="store.address")
                 why = type(error).__name__
             if self.move_task is not this_task:
-                return why  # it had taken over, and has ended since
+                return why  # this stream had become the current one and has ended
             if why != logged:
                 log.warning("move_waits", field="store.address", why=why)
-            logged, tries = why, tries + 1
-            await asyncio.sleep(BACKOFF[min(tries, len(BACKOFF) - 1)])
+            logged, attempts = why, attempts + 1
+            await asyncio.sleep(BACKOFF[min(attempts, len(BACKOFF) - 1)])
 
     def finish_move(self, address):
-        """The stream of a move has taken the present one's place."""
+        """Makes the stream of a move the current one; cancels the former stream."""
         former, self.stream_task, self.move_task = self.stream_task, self.move_task, None
         self.address, self.failures = address, 0
         log.info("news_moved")
@@ -61,14 +61,14 @@
             former.cancel()
 
     async def run(self):
-        """Follows the stream, opening it again whenever it ends."""
+        """Follows the stream, reopening it whenever it ends."""
         while True:
             if not self.stream_task:
                 self.stream_task = asyncio.ensure_future(self.follow(self.address))
             stream_task = self.stream_task
             await asyncio.wait({stream_task})
             if stream_task is not self.stream_task:
-                continue  # another stream has taken over
+                continue  # another stream has replaced it
             self.stream_task = None
             why = stream_task.result()
             if not self.failures:
@@ -78,43 +78,43 @@
 
     async def follow(self, address):
         """Follows one stream to its end; returns why it ended."""
-        link = await http.connect(address, CONNECT_TIMEOUT)
-        if isinstance(link, http.NotSent):
-            return link.why
+        connection = await http.connect(address, CONNECT_TIMEOUT)
+        if isinstance(connection, http.NotSent):
+            return connection.why
         view = StreamView(address)
         try:
-            link.send_request("GET", PATH)
-            head = await http.with_timeout(SILENCE_TIMEOUT, link.read_head())
+            connection.send_request("GET", PATH)
+            head = await http.with_timeout(SILENCE_TIMEOUT, connection.read_head())
             if head is None or head.status_code != 200:
-                return f"answered {head.status_code}" if head else http.CLOSED
-            self.begin(view)
-            return await self.read_events(link, EventStreamParser(), view)
+                return f"HTTP status {head.status_code}" if head else http.CLOSED
+            self.handle_open(view)
+            return await self.read_events(connection, EventStreamParser(), view)
         except (OSError, h11.ProtocolError, TimeoutError) as error:
-            return http.reason(error, link.reader.at_eof())
+            return http.failure_reason(error, connection.reader.at_eof())
         finally:
-            link.close()
+            connection.close()
             successor = self.membership.successor
             if self.membership.close(view):
                 self.finish_move(successor.address)
 
-    def begin(self, view):
-        """A stream has opened."""
+    def handle_open(self, view):
+        """Registers an opened stream."""
         overlapping = self.membership.open(view)
         log.info("news_open", gap=self.opened_before and not overlapping)
         if overlapping:
             return
-        if self.opened_before:  # the relay may have restarted meanwhile
+        if self.opened_before:  # the relay may have restarted in between
             self.publish(gp.OrdersInDoubt())
         self.opened_before = True
         if asyncio.current_task() is self.move_task:
             self.finish_move(view.address)
 
-    async def read_events(self, link, parser, view):
+    async def read_events(self, connection, parser, view):
         """Reads a stream to its end; returns why it ended."""
         loop = asyncio.get_running_loop()
         opened_at = loop.time()
         while True:
-            chunk = await http.with_timeout(SILENCE_TIMEOUT, link.read_body_chunk())
+            chunk = await http.with_timeout(SILENCE_TIMEOUT, connection.read_body_chunk())
             if chunk is None:
                 return "stream ended"
             if view is self.membership.current:
@@ -133,7 +133,7 @@
                 return "event too long"
 
     def receive(self, view, kind, fields):
-        """Decodes one event and passes it on; an unreadable one is logged."""
+        """Decodes one event and passes it on; logs one that cannot be decoded."""
         try:
             event = message_codec.parse_event(kind, fields, NO_ROUTES)
         except (KeyError, ValueError) as error:
@@ -143,7 +143,7 @@
             self.membership.receive(view, event)
 
     def publish_event(self, event):
-        """Publishes an event with the brain's marks; answers to marks of an earlier process are dropped."""
+        """Publishes an event with the brain's marks; drops acknowledgements of an earlier process's marks."""
         if isinstance(event, gp.Applied):
             event = self.marks.from_wire(event)
         if event is not None:
--- a/garnetpaddle/net/http.py
+++ b/garnetpaddle/net/http.py
@@ -1,6 +1,6 @@
 """An HTTP/1.1 client connection on asyncio streams and h11.
 
-Failures are return values that tell how far a call came: NotSent, Unconfirmed or Response."""
+A call returns NotSent, Unconfirmed or Response, which tell how far the request got."""
 
 import asyncio
 import errno
@@ -10,22 +10,22 @@
 import h11
 
 RESOURCE_ERRORS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL)
-READ_SIZE = 64 << 10  # bytes read at once
+READ_SIZE = 64 << 10  # bytes
 EXTRA_WAIT = 0.02  # s: a few iterations of the event loop
-MAX_BODY = 8 << 20  # bytes: a longer response counts as unreadable
+MAX_BODY = 8 << 20  # bytes: a response with a longer body counts as malformed
 
 
 @dataclass(frozen=True, slots=True)
 class NotSent:
-    """No byte of the request was written, so it was certainly not carried out."""
+    """No byte of the request was written, so the peer cannot have executed it."""
 
     why: str
-    local_fault: bool = False  # descriptors or memory ran short here: no evidence about the peer
+    local_fault: bool = False  # this process ran out of descriptors or memory; says nothing about the peer
 
 
 @dataclass(frozen=True, slots=True)
 class Unconfirmed:
-    """Some or all of the request was written and no readable response came: it may have been carried out."""
+    """The request was at least partly written and got no valid response: it may have been executed."""
 
     why: str
 
@@ -38,121 +38,121 @@
     body: bytearray
 
 
-SILENCE, CLOSED, UNREADABLE = "silence", "connection closed", "unreadable answer"
+TIMED_OUT, CLOSED, MALFORMED = "no response in time", "connection closed", "malformed response"
 
 
-def reason(error, ended=False):
-    """The cause of a failed call, for logs. ended: the peer has closed its side of the connection."""
+def failure_reason(error, peer_closed=False):
+    """The cause of a failed call, for logs. peer_closed: the peer has closed its side of the connection."""
     if isinstance(error, TimeoutError):
-        return SILENCE
+        return TIMED_OUT
     if isinstance(error, h11.ProtocolError):
-        return CLOSED if ended else UNREADABLE
+        return CLOSED if peer_closed else MALFORMED
     return getattr(error, "strerror", None) or str(error) or type(error).__name__
 
 
-async def with_timeout(wait, doing):
-    """A coroutine's result; raises TimeoutError after `wait` seconds.
+async def with_timeout(timeout, awaitable):
+    """The result of an awaitable; raises TimeoutError after `timeout` seconds.
 
-    After the timeout it waits a little longer once: if this process itself was suspended, input that arrived
-    in the meantime is read before the peer counts as silent."""
-    task = asyncio.ensure_future(doing)
+    The timeout is extended once by EXTRA_WAIT: if this process itself was suspended, input that arrived in
+    the meantime is read before the peer counts as silent."""
+    task = asyncio.ensure_future(awaitable)
     try:
-        for span in (wait, EXTRA_WAIT):
-            if (await asyncio.wait({task}, timeout=span))[0]:
+        for period in (timeout, EXTRA_WAIT):
+            if (await asyncio.wait({task}, timeout=period))[0]:
                 return task.result()
         raise TimeoutError
     finally:
         task.cancel()
 
 
-async def connect(address, wait):
+async def connect(address, timeout):
     """Opens a connection to an address, (host, port); returns a Connection or NotSent."""
     opening = asyncio.ensure_future(asyncio.open_connection(*address, limit=READ_SIZE))
     try:
-        return Connection(*await with_timeout(wait, opening), address)
+        return Connection(*await with_timeout(timeout, opening), address)
     except (OSError, TimeoutError, UnicodeError) as error:  # UnicodeError: a host name that cannot be encoded
-        return NotSent(f"connect: {reason(error)}", getattr(error, "errno", None) in RESOURCE_ERRORS)
+        return NotSent(f"connect: {failure_reason(error)}", getattr(error, "errno", None) in RESOURCE_ERRORS)
     except asyncio.CancelledError:
-        # The connection may have opened in the iteration of the cancellation: nobody else would close it.
+        # The connection may have opened in the iteration of the cancellation; nobody else would close it.
         if opening.done() and not opening.cancelled() and not opening.exception():
             opening.result()[1].transport.abort()
         raise
 
 
 class Connection:
-    """One connection, used for one request at a time."""
+    """A connection that carries one request at a time."""
 
     def __init__(self, reader, writer, address):
         self.reader, self.writer, self.address = reader, writer, address
         self.host = f"{address[0]}:{address[1]}"
-        self.h11, self.used_at = h11.Connection(h11.CLIENT), time.monotonic()
+        self.protocol, self.last_response_at = h11.Connection(h11.CLIENT), time.monotonic()
 
     def usable(self):
-        """Whether another request may be sent on it, as far as this side can tell."""
-        return self.h11.our_state is h11.IDLE and not (self.reader.at_eof() or self.writer.is_closing())
+        """Whether it can take another request, as far as this side can tell."""
+        return self.protocol.our_state is h11.IDLE and not (self.reader.at_eof() or self.writer.is_closing())
 
-    def idle(self):
+    def idle_seconds(self):
         """Seconds since the last complete response."""
-        return time.monotonic() - self.used_at
+        return time.monotonic() - self.last_response_at
 
     def close(self):
         """Aborts the connection."""
         self.writer.transport.abort()
 
-    def send_request(self, method, target, body=b"", kind=None):
-        """Writes a whole request. kind: the body's content type."""
+    def send_request(self, method, target, body=b"", content_type=None):
+        """Writes a whole request."""
         headers = [("Host", self.host)]
-        if kind:
-            headers += [("Content-Type", kind), ("Content-Length", str(len(body)))]
-        parts = [self.h11.send(h11.Request(method=method, target=target, headers=headers))]
+        if content_type:
+            headers += [("Content-Type", content_type), ("Content-Length", str(len(body)))]
+        parts = [self.protocol.send(h11.Request(method=method, target=target, headers=headers))]
         if body:
-            parts.append(self.h11.send(h11.Data(body)))
-        self.h11.send(h11.EndOfMessage())
+            parts.append(self.protocol.send(h11.Data(body)))
+        self.protocol.send(h11.EndOfMessage())
         self.writer.write(b"".join(parts))
 
-    async def call(self, method, target, wait, body=b"", kind=None):
+    async def call(self, method, target, timeout, body=b"", content_type=None):
         """Sends one request and reads its response: NotSent, Unconfirmed or Response."""
         if not self.usable():
             return NotSent(CLOSED)
         result = None
         try:
-            self.send_request(method, target, body, kind)
-            result = await with_timeout(wait, self.read_response())
+            self.send_request(method, target, body, content_type)
+            result = await with_timeout(timeout, self.read_response())
         except (OSError, h11.ProtocolError, TimeoutError) as error:
-            result = Unconfirmed(reason(error, self.reader.at_eof()))
+            result = Unconfirmed(failure_reason(error, self.reader.at_eof()))
         finally:
             if not isinstance(result, Response) or not self.finish_cycle():
                 self.close()
         return result
 
     async def read_response(self):
-        """The whole response, or Unconfirmed."""
+        """Reads the whole response; returns Response or Unconfirmed."""
         response = await self.read_head()
         if response is None:
             return Unconfirmed(CLOSED)
         body = bytearray()
-        while (piece := await self.read_body_chunk()) is not None:
-            body += piece
+        while (chunk := await self.read_body_chunk()) is not None:
+            body += chunk
             if len(body) > MAX_BODY:
-                return Unconfirmed("answer too long")
+                return Unconfirmed("response too long")
         return Response(response.status_code, body)
 
     def finish_cycle(self):
-        """Prepares for another request; False where this connection cannot take one."""
-        self.used_at = time.monotonic()
-        if self.h11.our_state is h11.DONE and self.h11.their_state is h11.DONE:
-            self.h11.start_next_cycle()
+        """Prepares for another request; returns False if this connection cannot take one."""
+        self.last_response_at = time.monotonic()
+        if self.protocol.our_state is h11.DONE and self.protocol.their_state is h11.DONE:
+            self.protocol.start_next_cycle()
             return True
         return False
 
     async def next_event(self):
         """The next h11 event, reading more bytes as needed."""
-        while (event := self.h11.next_event()) is h11.NEED_DATA:
-            self.h11.receive_data(await self.reader.read(READ_SIZE))
+        while (event := self.protocol.next_event()) is h11.NEED_DATA:
+            self.protocol.receive_data(await self.reader.read(READ_SIZE))
         return event
 
     async def read_head(self):
-        """The final response's head, or None if the connection ended before it."""
+        """The head of the final response, or None if the connection closed before it."""
         while isinstance(event := await self.next_event(), h11.InformationalResponse):
             pass
         return event if isinstance(event, h11.Response) else None
--- a/garnetpaddle/net/log.py
+++ b/garnetpaddle/net/log.py
@@ -1,4 +1,4 @@
-"""Logging to standard output: one event name a line, with a limit on the lines of each name."""
+"""Structured logging to standard output, with a rate limit per event name."""
 
 import contextlib
 import sys
@@ -6,30 +6,32 @@
 
 import structlog
 
-MAX_LINES, SPAN = 40, 10.0  # lines of one event name in so many seconds: a log is for people
+MAX_LINES, PERIOD = 40, 10.0  # entries of one event name in each period, s; keeps the log readable
 
 
 class RateLimit:
-    """A structlog processor: passes the first lines of each event name in a span, and counts the dropped."""
+    """A structlog processor: passes the first entries of each event name in a period and counts the others.
+
+    The first entry of the next period carries that count as `left_out`."""
 
     def __init__(self, clock=time.monotonic):
         self.clock, self.counts = clock, {}
 
-    def __call__(self, _, __, line):
-        """Passes a line, or raises DropEvent."""
-        now, name = self.clock(), line["event"]
-        since, count, left_out = self.counts.get(name, (now, 0, 0))
-        if now - since >= SPAN:
-            since, count = now, 0
-        written = count < MAX_LINES
-        self.counts[name] = since, count + 1, 0 if written else left_out + 1
-        if not written:
+    def __call__(self, _, __, entry):
+        """Passes an entry, or raises DropEvent."""
+        now, name = self.clock(), entry["event"]
+        period_start, count, left_out = self.counts.get(name, (now, 0, 0))
+        if now - period_start >= PERIOD:
+            period_start, count = now, 0
+        passed = count < MAX_LINES
+        self.counts[name] = period_start, count + 1, 0 if passed else left_out + 1
+        if not passed:
             raise structlog.DropEvent
-        return line | ({"left_out": left_out} if left_out else {})
+        return entry | ({"left_out": left_out} if left_out else {})
 
 
 class LogOutput:
-    """Standard output for the log. If its reader goes away, logging stops and the program goes on."""
+    """Standard output for the log. If its reader goes away, log output is lost and the program goes on."""
 
     def write(self, text):
         """Writes, ignoring errors."""
@@ -42,8 +44,8 @@
             sys.stdout.flush()
 
 
-def begin(name):
-    """Configures logging; every line carries the assigner's name."""
+def configure_logging(name):
+    """Sets up structlog; every entry carries the assigner's name."""
     structlog.configure(
         logger_factory=structlog.PrintLoggerFactory(LogOutput()),
         processors=[
--- a/garnetpaddle/net/message_codec.py
+++ b/garnetpaddle/net/message_codec.py
@@ -1,6 +1,6 @@
-"""Parsing of protocol messages: the lines at the assigner's address and the events of the relay's stream.
+"""Parsing of protocol messages: the lines received at the assigner's address and the relay's stream events.
 
-An unreadable line is a value, InvalidMessage; parse_event raises instead."""
+parse_line returns InvalidMessage for what it cannot parse; parse_event raises."""
 
 import math
 import re
@@ -9,31 +9,32 @@
 from garnetpaddle import boot
 from garnetpaddle import interface as gp
 
-FIELD = re.compile(rb"(?<!\S)([^\s=]++)=(\S*)")  # anchored to words: else a long word costs its square
+# Anchored to word starts: otherwise a long word takes quadratic time.
+FIELD = re.compile(rb"(?<!\S)([^\s=]++)=(\S*)")
 FIRST_WORD = re.compile(rb"\S+")
 LOAD_NAMES = {"inflight": "in_hand", "queue": "queued", "util": "busy", "latency_ms": "service_ms"}
-MAX_COUNT = 10**9  # a larger count is taken for an error
-MAX_COUNT_DIGITS = 20  # that are converted at all
-MAX_SPAN = 36_000_000  # tenths of a ms, an hour: no report covers more
+MAX_COUNT = 10**9  # larger counts are rejected as errors
+MAX_COUNT_DIGITS = 20  # digits that are converted; the rest of a longer number is cut off
+MAX_PERIOD = 36_000_000  # tenths of a ms: one hour, longer than any report covers
 MAX_LOGGED_KIND = 40  # characters
 KINDS = frozenset({"hb", "telemetry", "upstream_stats", "client_stats", "attach", "detach", "done"})
 
 
 @dataclass(frozen=True, slots=True)
 class Heartbeat:
-    """A peer asks whether this assigner is up."""
+    """A peer's check that this assigner is up."""
 
 
 @dataclass(frozen=True, slots=True)
 class CollectorHello:
-    """The peer registers as the collector of a zone."""
+    """Registers the peer as the collector of a zone."""
 
     zone: str
 
 
 @dataclass(frozen=True, slots=True)
 class InvalidMessage:
-    """A line that cannot be parsed. kind_known: a damaged message, rather than perhaps none at all."""
+    """A line that cannot be parsed. kind_known: its kind is valid, and only the fields are not."""
 
     why: str
     kind_known: bool = False
@@ -41,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class KnownNames:
-    """The names that a message may refer to; empty `zones` and 0 `proxies` mean any."""
+    """The names that a message may refer to; empty `zones` or 0 `proxies` allow any."""
 
     routes: dict[str, int]
     zones: tuple[str, ...] = ()
@@ -49,7 +50,7 @@
 
 
 def parse_line(line, known):
-    """Heartbeat, CollectorHello, an event of the interface, or InvalidMessage."""
+    """Parses a line into a Heartbeat, a CollectorHello, an event of the interface or an InvalidMessage."""
     kind = FIRST_WORD.match(line)
     kind = kind.group().decode("ascii", "replace") if kind else ""
     if kind == "hb":
@@ -57,25 +58,27 @@
     try:
         fields = parse_fields(line)
         if kind == "telemetry":
-            return CollectorHello(zone(fields["site"], known))
+            return CollectorHello(parse_zone(fields["site"], known))
         return parse_event(kind, fields, known)
     except KeyError as error:
-        return InvalidMessage(f"{kind[:MAX_LOGGED_KIND]}: no {error.args[0]!r:.40}", kind in KINDS)
+        return InvalidMessage(
+            f"{kind[:MAX_LOGGED_KIND]}: field {error.args[0]!r:.40} is missing", kind in KINDS
+        )
     except ValueError as error:
         return InvalidMessage(f"{kind[:MAX_LOGGED_KIND]}: {error!s:.80}", kind in KINDS)
 
 
 def parse_fields(line):
-    """The name=value pairs of a line; raises ValueError for a name with two values."""
+    """The name=value pairs of a line; raises ValueError for a name with two different values."""
     fields = {}
     for name, value in FIELD.findall(line):
         if fields.setdefault(name.decode(), value.decode()) != value.decode():
-            raise ValueError(f"two of {name.decode()!r:.40}")
+            raise ValueError(f"field {name.decode()!r:.40} has two values")
     return fields
 
 
 def parse_event(kind, fields, known):
-    """The event of a message; raises KeyError or ValueError for a missing or impossible field."""
+    """The event of a message; raises KeyError for a missing field, ValueError for an invalid one."""
     match kind:
         case "upstream_stats":
             return parse_task_sums(fields, known)
@@ -83,102 +86,108 @@
             return parse_route_sums(fields, known)
         case "attach":
             is_new = fields.get("new") == "1"
-            return gp.ProxyJoined(count(fields["id"]), number(fields["rps"]), is_new, fields["site"])
+            return gp.ProxyJoined(
+                parse_count(fields["id"]), parse_number(fields["rps"]), is_new, fields["site"]
+            )
         case "detach":
-            return gp.ProxyLeft(count(fields["id"]))
+            return gp.ProxyLeft(parse_count(fields["id"]))
         case "done":
-            return gp.Applied(count(fields["id"]), count(fields["seq"]), tenths(fields.get("ms", "0")))
-    raise ValueError("unknown kind")
+            return gp.Applied(
+                parse_count(fields["id"]),
+                parse_count(fields["seq"]),
+                parse_milliseconds(fields.get("ms", "0")),
+            )
+    raise ValueError("unknown message kind")
 
 
 def parse_task_sums(fields, known):
-    """A collector's sums for one task."""
-    tries, failures = count(fields["count"]), count(fields["fail"])
+    """Parses a collector's sums for one task."""
+    tries, failures = parse_count(fields["count"]), parse_count(fields["fail"])
     if failures > tries:
-        raise ValueError(f"{failures} of {tries} failed")
-    latency = number(fields["mean"] if failures < tries else fields.get("mean", "0")) * 10
+        raise ValueError(f"{failures} failures in {tries} tries")
+    latency = parse_number(fields["mean"] if failures < tries else fields.get("mean", "0")) * 10
     if (latency > 0) != (failures < tries):
-        raise ValueError(f"a mean of {latency / 10:g} over {tries - failures} answers")
+        raise ValueError(f"mean latency {latency / 10:g} ms for {tries - failures} successful tries")
     return gp.TaskSums(
         fields["target"],
-        zone(fields["site"], known),
+        parse_zone(fields["site"], known),
         tries,
         failures,
         latency,
-        span(fields["over"]),
+        parse_period(fields["over"]),
         parse_load(fields.get("util", ""), strict=True),
     )
 
 
 def parse_route_sums(fields, known):
-    """A proxy's sums for one route."""
-    # More may go unanswered than came: a call of an earlier period may end in this one.
+    """Parses a proxy's sums for one route."""
+    # Failures may exceed calls: a call that arrived in an earlier period may fail in this one.
     return gp.RouteSums(
-        proxy(fields["id"], known),
+        parse_proxy(fields["id"], known),
         boot.lookup(known.routes, fields["lane"], "lane"),
-        count(fields["count"]),
-        count(fields["fail"]),
-        span(fields["over"]),
+        parse_count(fields["count"]),
+        parse_count(fields["fail"]),
+        parse_period(fields["over"]),
     )
 
 
-def zone(text, known):
-    """A zone's name, checked."""
+def parse_zone(text, known):
+    """The name of a known zone."""
     if not text or known.zones and text not in known.zones:
-        raise ValueError(f"no zone {text!r:.40}")
+        raise ValueError(f"unknown zone {text!r:.40}")
     return text
 
 
-def proxy(text, known):
-    """A proxy's number, checked."""
-    value = count(text)
+def parse_proxy(text, known):
+    """The number of a known proxy."""
+    value = parse_count(text)
     if known.proxies and value >= known.proxies:
-        raise ValueError(f"no proxy {value}")
+        raise ValueError(f"unknown proxy {value}")
     return value
 
 
-def span(text):
-    """A report's period in tenths of a ms, from milliseconds."""
-    value = tenths(text)
-    if not 0 < value <= MAX_SPAN:
-        raise ValueError(f"{text:.40} is no period")
+def parse_period(text):
+    """The period that a report covers: milliseconds as tenths of a ms."""
+    value = parse_milliseconds(text)
+    if not 0 < value <= MAX_PERIOD:
+        raise ValueError(f"{text:.40} is not a valid period")
     return value
 
 
-def count(text):
-    """A whole number from 0 to MAX_COUNT."""
+def parse_count(text):
+    """An integer from 0 to MAX_COUNT."""
     text = text.strip()
     if not (text.isascii() and text.isdigit()):
-        raise ValueError(f"{text!r:.40} is no count")
+        raise ValueError(f"{text!r:.40} is not a valid count")
     value = int(text[:MAX_COUNT_DIGITS])
     if not 0 <= value <= MAX_COUNT:
-        raise ValueError(f"{text} is no count")
+        raise ValueError(f"{text} is not a valid count")
     return value
 
 
-def number(text):
+def parse_number(text):
     """A finite number, not below 0."""
     value = float(text)
     if not math.isfinite(value) or value < 0:
-        raise ValueError(f"{text} is no measure")
+        raise ValueError(f"{text} is not a finite number of at least 0")
     return value
 
 
-def tenths(milliseconds):
-    """Milliseconds as whole tenths of a millisecond."""
-    return round(number(milliseconds) * 10)
+def parse_milliseconds(milliseconds):
+    """Milliseconds as an integer in tenths of a ms."""
+    return round(parse_number(milliseconds) * 10)
 
 
 def parse_load(text, strict=False):
-    """A load report of name:value pairs (name=value in a probe's body).
+    """Parses a load report, `name:value` pairs separated by commas (`name=value` in a probe's body).
 
-    An impossible value is left out, or raises ValueError if strict."""
+    An invalid value is left out or, if strict, raises ValueError."""
     pairs = (pair.replace("=", ":").partition(":") for pair in text.split(",") if pair.strip())
     values = {}
     for name, _, value in pairs:
         try:
-            values[name.strip()] = number(value)
+            values[name.strip()] = parse_number(value)
         except ValueError:
             if strict and name.strip() in LOAD_NAMES:
                 raise
-    return boot.load(values, LOAD_NAMES)
+    return boot.normalize_load(values, LOAD_NAMES)
--- a/garnetpaddle/net/order_codec.py
+++ b/garnetpaddle/net/order_codec.py
@@ -1,4 +1,4 @@
-"""Encoding of orders as the relay's form requests, parsing of its XML responses, and translation of marks."""
+"""Encoding of orders as the relay's form requests, parsing of its XML responses, translation of marks."""
 
 import xml.etree.ElementTree as xml
 from dataclasses import dataclass
@@ -8,16 +8,16 @@
 from garnetpaddle import interface as gp
 
 RETRY_MODES = {"none": 0, "on proof": 1, "once": 2}
-MAX_CALL_BYTES = 60_000  # of encoded orders in one request
-MARK_COUNT = 65_536  # marks on the wire are whole numbers below it
-MARKS_REMEMBERED = 4_096  # newest marks of ours that an answer may still refer to
-ERRORS_BEFORE_EXECUTION = frozenset({"limit", "malformed"})  # with these the request was not carried out
-MAX_COUNT_DIGITS = 9  # of the number of accepted orders
+MAX_CALL_BYTES = 60_000  # encoded orders in one request
+MARK_COUNT = 65_536  # wire marks are integers below this
+MAX_REMEMBERED_MARKS = 4_096  # latest marks sent, which an Applied event may still refer to
+ERRORS_BEFORE_EXECUTION = frozenset({"limit", "malformed"})  # error codes of a request that was not executed
+MAX_COUNT_DIGITS = 9  # in the number of accepted orders
 SEPARATOR_BYTES = len("%3B")
 
 
 class EncodedOrder(NamedTuple):
-    """An order and its text in a request."""
+    """An order and its encoding in a request."""
 
     order: object
     text: str
@@ -25,33 +25,33 @@
 
 @dataclass(frozen=True, slots=True)
 class Accepted:
-    """The relay carried out the first `count` orders of a request."""
+    """The relay executed the first `count` orders of a request."""
 
     count: int
 
 
 @dataclass(frozen=True, slots=True)
 class Rejected:
-    """The relay refused the whole request."""
+    """The relay rejected the whole request and executed none of it."""
 
     why: str
 
 
 class MarkTranslator:
-    """Translates the brain's marks to those on the wire and back.
+    """Translates the brain's seal marks to wire marks and back.
 
-    Wire marks start at an offset derived from the seed, so that answers to marks of an earlier process are
-    recognised as foreign."""
+    Wire marks start at an offset derived from the seed, so that an acknowledgement of an earlier process's
+    mark is not taken for one of this process's."""
 
     def __init__(self, seed):
         self.offset, self.sent = seed % MARK_COUNT, {}
 
     def to_wire(self, mark):
-        """The wire mark of one of the brain's, remembered as sent."""
+        """The wire mark for a mark of the brain; remembers it as sent."""
         mark = (mark + self.offset) % MARK_COUNT
         self.sent.pop(mark, None)
         self.sent[mark] = True
-        if len(self.sent) > MARKS_REMEMBERED:
+        if len(self.sent) > MAX_REMEMBERED_MARKS:
             del self.sent[next(iter(self.sent))]
         return mark
 
@@ -63,7 +63,7 @@
 
 
 def encode_order(order, routes, marks):
-    """The text of an order. routes: the route names by number; marks: a MarkTranslator."""
+    """Encodes an order. routes: the route names by number; marks: a MarkTranslator."""
     match order:
         case gp.SetLine():
             return f"put,{order.table},{order.task},{order.weight!r}"
@@ -72,53 +72,53 @@
         case gp.Withdraw():
             return f"{'eject' if order.out else 'uneject'},{order.task}"
         case gp.Admit():
-            everything = len(order.routes) == len(routes)
-            named = "*" if everything else "+".join(routes[k] for k in order.routes)
-            return f"gate,{order.table},{named},{order.level!r},{RETRY_MODES[order.tries]}"
+            all_routes = len(order.routes) == len(routes)
+            route_names = "*" if all_routes else "+".join(routes[k] for k in order.routes)
+            return f"gate,{order.table},{route_names},{order.level!r},{RETRY_MODES[order.tries]}"
         case gp.Seal():
             return f"fence,{marks.to_wire(order.mark)},{int(order.all_proxies)}"
-    raise TypeError(f"no relay's form for {order!r}")
+    raise TypeError(f"order has no encoding for the relay: {order!r}")
 
 
 def split_into_calls(orders, routes, marks, limit=MAX_CALL_BYTES):
-    """A reply's requests, each a list of EncodedOrder: one, unless it would exceed the limit in bytes.
+    """Encodes a batch of orders as requests, lists of EncodedOrder: several only above the byte limit.
 
-    A fence goes first, because it covers its whole request and nothing behind an order that is not accepted
-    is carried out. In a reply of several requests it goes last and to all proxies: otherwise it would reach
-    only those that its own request reaches."""
+    A fence goes first: it covers its whole request, and nothing after an order that is not accepted is
+    executed. If the batch needs several requests, the fence goes last and to all proxies; otherwise it would
+    reach only the proxies that its own request reaches."""
     fence_first = sorted(orders, key=lambda order: not isinstance(order, gp.Seal))
     encoded = [EncodedOrder(order, encode_order(order, routes, marks)) for order in fence_first]
-    calls = list(chunks(encoded, limit))
+    calls = list(split_by_size(encoded, limit))
     if len(calls) > 1 and isinstance(fence_first[0], gp.Seal):
         fence = encoded[0]
-        calls = list(chunks([*encoded[1:], EncodedOrder(fence.order, fence.text[:-1] + "1")], limit))
+        calls = list(split_by_size([*encoded[1:], EncodedOrder(fence.order, fence.text[:-1] + "1")], limit))
     return calls
 
 
-def chunks(encoded, limit):
-    """Splits encoded orders into lists of at most `limit` bytes, of one order at least."""
+def split_by_size(encoded, limit):
+    """Splits encoded orders into lists of at most `limit` bytes, each with at least one order."""
     call, size = [], 0
     for each in encoded:
-        cost = len(quote(each.text, safe="")) + SEPARATOR_BYTES
-        if call and size + cost > limit:
+        order_bytes = len(quote(each.text, safe="")) + SEPARATOR_BYTES
+        if call and size + order_bytes > limit:
             yield call
             call, size = [], 0
         call.append(each)
-        size += cost
+        size += order_bytes
     if call:
         yield call
 
 
 def remaining_after(call, accepted):
-    """What is still to be sent of a request after an order that was not accepted.
+    """The orders of a request that are still to be sent after one that was not accepted.
 
-    Its fence is repeated, since a fence reaches only the proxies that its own request reaches, but never to
-    all of them: that would cost a message at every proxy."""
+    The fence is repeated, since a fence reaches only the proxies that its own request reaches, but not to
+    all proxies: that would cost every proxy a message."""
     fences = [each for each in call[:accepted] if isinstance(each.order, gp.Seal)]
-    left = call[accepted + 1 :]
-    if not left:
+    remaining = call[accepted + 1 :]
+    if not remaining:
         return []
-    return [EncodedOrder(fence.order, fence.text[:-1] + "0") for fence in fences] + left
+    return [EncodedOrder(fence.order, fence.text[:-1] + "0") for fence in fences] + remaining
 
 
 def request_body(call):
@@ -128,7 +128,7 @@
 
 
 def parse_response(status, body, sent):
-    """Accepted or Rejected; None for an unreadable or impossible response, which leaves the call in doubt.
+    """Accepted or Rejected; None for a malformed or contradictory response, which leaves the call in doubt.
 
     sent: the number of orders in the request."""
     try:
@@ -137,8 +137,8 @@
         return None
     counts = [(each.text or "").strip() for each in root.iter("taken")]
     if status == 200 and len(counts) == 1 and counts[0].isascii() and counts[0].isdigit():
-        readable = len(counts[0]) <= MAX_COUNT_DIGITS and int(counts[0]) <= sent
-        return Accepted(int(counts[0])) if readable else None
+        plausible = len(counts[0]) <= MAX_COUNT_DIGITS and int(counts[0]) <= sent
+        return Accepted(int(counts[0])) if plausible else None
     words = [word.strip() for word in root.itertext() if word.strip()]
     why = next((word for word in words if word in ERRORS_BEFORE_EXECUTION), None)
     return Rejected(why) if why and not counts else None
--- a/garnetpaddle/net/order_sender.py
+++ b/garnetpaddle/net/order_sender.py
@@ -1,4 +1,4 @@
-"""Ordered delivery of orders to the relay: one request at a time, each failure reported to the brain."""
+"""Delivery of orders to the relay in sequence: one request at a time, each failure reported to the brain."""
 
 import asyncio
 import collections
@@ -9,16 +9,16 @@
 from garnetpaddle import interface as gp
 from garnetpaddle.net import http, order_codec
 
-RESPONSE_TIMEOUT = 0.25  # s: the protocol's 50 ms, and what a busy machine may add
+RESPONSE_TIMEOUT = 0.25  # s: the 50 ms of the protocol plus delays on a busy machine
 CONNECT_TIMEOUT = 0.5  # s
-MAX_IDLE = 1.0  # s: the relay may be closing an older connection, and a request on it would be in doubt
-BACKOFF = (0.05, 0.1, 0.2, 0.4)  # s before the brain hears of a failed request, by failures in a row
-ATTEMPTS = 2  # a kept connection may turn out to be closed before a byte is written
+MAX_IDLE = 1.0  # s: the relay may close a connection that is idle for longer, leaving a request in doubt
+BACKOFF = (0.05, 0.1, 0.2, 0.4)  # s before a failed request is reported to the brain, by consecutive failures
+ATTEMPTS = 2  # a reused connection may turn out to be closed before a byte is written
 log = structlog.get_logger()
 
 
 class OrderSender:
-    """Sends replies of the brain to the relay in their sequence.
+    """Sends batches of orders to the relay in sequence.
 
     routes: route names by number; marks: order_codec.MarkTranslator; publish: receives gp.OrdersLost."""
 
@@ -26,38 +26,38 @@
         self.address, self.routes, self.marks, self.publish = address, routes, marks, publish
         self.queue, self.wake, self.link = collections.deque(), asyncio.Event(), None
         self.failures, self.logged_state = 0, None
-        self.next_link, self.move_task = None, None  # the connection to a new address; who opens it
+        self.next_link, self.move_task = None, None  # the connection to a new address; the task that opens it
 
-    def submit(self, reply):
-        """Queues a reply, a list of orders."""
-        self.queue.append(reply)
+    def submit(self, orders):
+        """Queues a batch of orders."""
+        self.queue.append(orders)
         self.wake.set()
 
     async def run(self):
-        """Sends what is queued, for ever."""
+        """Sends queued batches forever."""
         while True:
             await self.wake.wait()
             self.wake.clear()
             while self.queue:
-                await self.send_reply(self.queue.popleft())
+                await self.send_batch(self.queue.popleft())
 
-    async def send_reply(self, reply):
-        """Sends one reply; an unexpected error counts as in doubt."""
+    async def send_batch(self, orders):
+        """Sends one batch; after an unexpected error it is reported as in doubt."""
         try:
-            await self.send_calls(order_codec.split_into_calls(reply, self.routes, self.marks))
+            await self.send_calls(order_codec.split_into_calls(orders, self.routes, self.marks))
         except Exception:
             log.exception("call_failed")
-            self.publish(gp.OrdersLost(tuple(reply), True))
+            self.publish(gp.OrdersLost(tuple(orders), True))
 
     async def send_calls(self, calls):
-        """Sends the requests of one reply. A failure is reported together with everything queued behind it,
-        none of which is sent."""
+        """Sends the requests of one batch. After a failure neither the rest of the batch nor any queued batch
+        is sent; all of them are reported as lost."""
         partly_sent = False
         while calls:
             call = calls.pop(0)
-            result = await self.attempt(call)
+            result = await self.send_request(call)
             if not isinstance(result, order_codec.Accepted):
-                await self.fail(result, call, calls, partly_sent)
+                await self.handle_failure(result, call, calls, partly_sent)
                 return
             partly_sent, self.failures = True, 0
             self.log_state(None)
@@ -66,8 +66,8 @@
                 remaining = order_codec.remaining_after(call, result.count)
                 calls = [remaining, *calls] if remaining else calls
 
-    async def fail(self, result, call, later_calls, partly_sent):
-        """Reports a failed request and all that waits behind it, after a back-off."""
+    async def handle_failure(self, result, call, later_calls, partly_sent):
+        """Reports a failed request and everything queued behind it as lost, after a backoff."""
         in_doubt = isinstance(result, http.Unconfirmed) or partly_sent
         self.log_state(result)
         await asyncio.sleep(BACKOFF[min(self.failures, len(BACKOFF) - 1)])
@@ -78,13 +78,13 @@
             self.publish(gp.OrdersLost(tuple(self.queue.popleft()), False))
 
     def report_lost(self, encoded, in_doubt):
-        """Tells the brain of orders that no response confirmed. in_doubt: they may have been carried out."""
+        """Reports orders that no response confirmed. in_doubt: they may have been executed."""
         if encoded:
             self.publish(gp.OrdersLost(tuple(each.order for each in encoded), in_doubt))
 
     def move(self, address):
-        """Switches to a new address between two requests, once it has accepted a connection; until then the
-        old address is used."""
+        """Moves to a new address: switches between two requests, once a connection to it is open. Until then
+        requests go to the old address."""
         if self.move_task:
             self.move_task.cancel()
         if self.next_link:
@@ -93,7 +93,7 @@
         self.move_task = asyncio.get_running_loop().create_task(self.connect_to(address))
 
     async def connect_to(self, address):
-        """Tries to connect until it succeeds; no request waits for it."""
+        """Retries until connected; requests go on meanwhile."""
         logged = None
         while not isinstance(link := await http.connect(address, CONNECT_TIMEOUT), http.Connection):
             if link.why != logged:
@@ -103,7 +103,7 @@
         self.next_link = link
 
     def switch_link(self):
-        """Takes over the connection to a new address, if there is one."""
+        """Replaces the connection by the one to a new address, if that is open."""
         if self.next_link:
             if self.link:
                 self.link.close()
@@ -111,7 +111,7 @@
             log.info("calls_moved")
 
     def log_state(self, failure):
-        """Logs a change between working (None) and kinds of failure, once."""
+        """Logs each change between success (None) and the kinds of failure once."""
         if failure == self.logged_state:
             return
         self.logged_state = failure
@@ -123,12 +123,12 @@
             case _:
                 log.warning("orders_lost", why=failure.why, perhaps=isinstance(failure, http.Unconfirmed))
 
-    async def attempt(self, call):
-        """Sends one request: Accepted, Rejected, NotSent or Unconfirmed."""
+    async def send_request(self, call):
+        """Sends one request; returns Accepted, Rejected, NotSent or Unconfirmed."""
         body = order_codec.request_body(call)
         for _ in range(ATTEMPTS):
             self.switch_link()
-            if self.link and (not self.link.usable() or self.link.idle() > MAX_IDLE):
+            if self.link and (not self.link.usable() or self.link.idle_seconds() > MAX_IDLE):
                 self.link.close()
                 self.link = None
             if not self.link:
@@ -143,5 +143,5 @@
                 break
         if isinstance(result, http.Response):
             parsed = order_codec.parse_response(result.status, result.body, len(call))
-            return parsed or http.Unconfirmed(http.UNREADABLE)
+            return parsed or http.Unconfirmed(http.MALFORMED)
         return result
--- a/garnetpaddle/net/proxy_membership.py
+++ b/garnetpaddle/net/proxy_membership.py
@@ -1,23 +1,27 @@
-"""Which proxies are joined to the relay, kept consistent over gaps and moves of its event stream."""
+"""Tracks which proxies are joined to the relay, across gaps and moves of its event stream."""
 
 from garnetpaddle import interface as gp
 
 
 class StreamView:
-    """What one event stream has told since it opened."""
+    """What one event stream has reported since it opened."""
 
     def __init__(self, address=None):
-        self.address, self.complete, self.joined = address, False, {}  # complete: it has named all proxies
-        self.overlapping = False  # it opened while another stream was alive
-        self.alive = True  # a byte arrived since another stream opened: until then nothing was missed here
+        self.address, self.complete, self.joined = (
+            address,
+            False,
+            {},
+        )  # complete: it has listed all proxies
+        self.overlapping = False  # it opened while another stream was current
+        self.alive = True  # a byte has arrived since another stream opened, so no event was lost before that
         self.start_tracking()
 
     def start_tracking(self):
-        """From here on also records who joined or left after being named, and what was applied."""
+        """Starts recording changes: proxies that rejoin or leave, and applied seals."""
         self.changed, self.applied = {}, {}
 
     def record(self, event, tracking):
-        """Records an event of the stream; changes only while tracking."""
+        """Records an event of the stream; changes are recorded only while tracking."""
         match event:
             case gp.ProxyJoined(proxy=proxy):
                 if tracking and proxy in self.joined:
@@ -32,19 +36,19 @@
 
 
 class ProxyMembership:
-    """The proxies that are joined, as published to the brain.
+    """The joined proxies as published to the brain.
 
-    After a gap every proxy that the new stream names joins anew, since it may have been away meanwhile, and
-    those that it does not name have left. A stream that opens beside a living one leaves no gap: the former
-    stream tells what the new one's initial list cannot. The former is alive if a byte of it arrives after
-    the new one opened; otherwise it may have been cut before."""
+    After a gap, every proxy in the new stream's initial list is published as joined again, since it may have
+    left in between, and every other one as left. A stream that opens while another is alive leaves no gap:
+    the previous stream reports what the new one's initial list cannot. The previous stream counts as alive
+    if a byte arrives on it after the new one has opened; otherwise it may have been cut off before that."""
 
     def __init__(self, publish):
         self.publish, self.joined, self.current, self.successor = publish, {}, None, None
 
     def open(self, view):
-        """Registers a new stream; True if it opens beside another one, which stays current until the new
-        stream is complete."""
+        """Registers a new stream; returns whether another one is current and stays so until the new one is
+        complete."""
         view.overlapping = self.current is not None
         if view.overlapping:
             self.successor, self.current.alive = view, False
@@ -54,7 +58,7 @@
         return view.overlapping
 
     def close(self, view):
-        """Removes a stream that has ended; True if its successor takes its place."""
+        """Removes a stream that has ended; returns whether its successor replaces it."""
         if view is self.successor:
             self.successor = None
         if view is not self.current:
@@ -66,7 +70,6 @@
         return False
 
     def receive(self, view, event):
-        """Handles an event of a stream."""
         initial = view.overlapping and not view.complete and event.proxy not in view.joined
         view.alive = True
         view.record(event, self.successor is not None)
@@ -74,7 +77,7 @@
             case _ if view is not self.current:
                 pass
             case gp.ProxyJoined(proxy=proxy) if initial and proxy in self.joined:
-                pass  # it was joined before the move and still is
+                pass  # already joined before the move
             case _:
                 self.apply(event)
 
@@ -88,35 +91,36 @@
         self.publish(event)
 
     def mark_complete(self, view):
-        """The stream has named all proxies that are joined."""
+        """Marks the initial list of the stream as complete."""
         if not view.complete:
             view.complete = True
             if view is self.current:
-                self.remove_unnamed()
+                self.remove_unlisted()
 
     def can_switch(self):
-        """Whether the successor may take over: it is complete, and the current stream lived meanwhile."""
+        """Whether the successor can become current: it is complete, and the current stream has been alive
+        since the successor opened."""
         return self.successor is not None and self.successor.complete and self.current.alive
 
     def switch(self):
-        """The successor takes over: publishes what it knows and the former stream did not tell."""
-        former, self.current, self.successor = self.current, self.successor, None
+        """Makes the successor current; publishes what it has reported and the previous stream has not."""
+        previous, self.current, self.successor = self.current, self.successor, None
         view = self.current
-        view.overlapping = former.alive
-        if not former.alive:
+        view.overlapping = previous.alive
+        if not previous.alive:
             self.publish(gp.OrdersInDoubt())
         if view.complete:
-            self.remove_unnamed()
+            self.remove_unlisted()
         for proxy, event in list(view.joined.items()):
-            rejoined = not former.alive or proxy in view.changed and proxy not in former.changed
+            rejoined = not previous.alive or proxy in view.changed and proxy not in previous.changed
             if rejoined or proxy not in self.joined:
                 self.apply(event)
         for key, event in view.applied.items():
-            if key not in former.applied:
+            if key not in previous.applied:
                 self.apply(event)
         view.start_tracking()
 
-    def remove_unnamed(self):
-        """Proxies that the current stream does not name have left."""
+    def remove_unlisted(self):
+        """Publishes proxies that the current stream does not list as left."""
         for proxy in [proxy for proxy in self.joined if proxy not in self.current.joined]:
             self.apply(gp.ProxyLeft(proxy))
--- a/garnetpaddle/net/reload.py
+++ b/garnetpaddle/net/reload.py
@@ -1,4 +1,4 @@
-"""Reloading of the configuration at SIGHUP: checked as at the start; new addresses go to their users."""
+"""Reloading of the configuration on SIGHUP: validated as at the start; address changes are passed on."""
 
 import asyncio
 
@@ -11,42 +11,42 @@
     "listen",
     "limits",
     "settings",
-)  # read at the start only, as are the seed and the list
+)  # read at the start only, as are `seed` and `known`
 log = structlog.get_logger()
 
 
 class Reload:
-    """Reads the configuration file again whenever `asked` is set.
+    """Reads the configuration file again whenever `requested` is set.
 
-    initial: the configuration of the start; moves: field -> a function that takes the field's new address,
-    (host, port), and gives up the old one by itself."""
+    initial: the configuration of the start; moves: field -> a function that is called with
+    the new address, (host, port), and switches over from the old one."""
 
     def __init__(self, path, initial, moves):
         self.path, self.initial, self.moves = path, initial, moves
         self.addresses = {"discovery": initial.discovery, "store.address": initial.store.address}
-        self.asked = asyncio.Event()  # signals that come during a reload lead to one more
+        self.requested = asyncio.Event()  # a signal during a reload causes another one
 
     async def run(self):
-        """Reloads on demand, for ever."""
+        """Reloads whenever it is requested."""
         while True:
-            await self.asked.wait()
-            self.asked.clear()
+            await self.requested.wait()
+            self.requested.clear()
             self.reload()
 
     def reload(self):
-        """One reading of the file; a wrong one changes nothing."""
+        """Reads the file once; an invalid file changes nothing."""
         try:
-            # The environment is that of the start: a file that now names other addresses is no error.
-            new = configuration.read(self.path, {})
+            # The environment still has the values of the start; a file with other addresses is not an error.
+            config = configuration.read(self.path, {})
         except configuration.Wrong as error:
             log.error("reload_refused", why=str(error))
             return
-        changed = [field for field in FIXED_FIELDS if getattr(new, field) != getattr(self.initial, field)]
+        changed = [field for field in FIXED_FIELDS if getattr(config, field) != getattr(self.initial, field)]
         if changed:
             log.warning("reload_needs_restart", fields=",".join(changed))
-        wanted = {"discovery": new.discovery, "store.address": new.store.address}
-        moved = [field for field, where in wanted.items() if where != self.addresses[field]]
-        self.addresses = wanted
+        addresses = {"discovery": config.discovery, "store.address": config.store.address}
+        moved = [field for field, text in addresses.items() if text != self.addresses[field]]
+        self.addresses = addresses
         for field in moved:
-            self.moves[field](configuration.address(wanted[field], field))
+            self.moves[field](configuration.parse_address(addresses[field], field))
         log.info("reloaded", moved=",".join(moved) or "nothing")
--- a/garnetpaddle/net/serve.py
+++ b/garnetpaddle/net/serve.py
@@ -1,4 +1,4 @@
-"""Puts the stages together and runs them until SIGTERM."""
+"""Builds and connects the stages of the assigner and runs them until SIGTERM."""
 
 import asyncio
 import os
@@ -13,8 +13,8 @@
 from garnetpaddle.net import configuration
 from garnetpaddle.net import log as log_output
 from garnetpaddle.net import message_codec as codec
-from garnetpaddle.net.configuration import address
-from garnetpaddle.net.decision_loop import DecisionLoop, clock
+from garnetpaddle.net.configuration import parse_address
+from garnetpaddle.net.decision_loop import DecisionLoop, make_clock
 from garnetpaddle.net.event_subscription import EventSubscription
 from garnetpaddle.net.listener import Listener
 from garnetpaddle.net.order_codec import MarkTranslator
@@ -25,22 +25,22 @@
 from garnetpaddle.net.task_list_codec import task_lines
 from garnetpaddle.net.task_list_watch import TaskAddresses, TaskListWatch
 
-PROBES_SHARE, PEERS_SHARE = 0.25, 0.5  # of the descriptors: probes under way, connections at our address
-RESTART_DELAY = 0.2  # s before a stage that failed unexpectedly is begun anew
+PROBE_SHARE, PEER_SHARE = 0.25, 0.5  # of limits.sockets: for probes, for connections to the listener
+RESTART_DELAY = 0.2  # s before a stage is restarted after an unexpected error
 log = structlog.get_logger()
 
 
 @dataclass
 class OrderHandlers:
-    """Where the decision loop hands each kind of order."""
+    """The handlers of the decision loop's orders."""
 
-    table: object
+    submit: object
     probe: object
     watch: object
 
 
 async def run_with_restarts(name, run):
-    """Runs a stage for good: a fault in it ends its connection, not the assigner."""
+    """Runs a stage forever; an error restarts the stage and does not end the assigner."""
     while True:
         try:
             await run()
@@ -49,81 +49,94 @@
         await asyncio.sleep(RESTART_DELAY)
 
 
-def stop():
-    """Ends the program in this very turn: no stage runs on. asyncio's own end would write orders that are
-    ready, and puts the signals' defaults back, so that a second SIGTERM would end with another code."""
+def exit_process():
+    """Ends the process without another iteration of the event loop. A regular shutdown of asyncio would write
+    orders that are ready and restore the default signal actions, so that a second SIGTERM would change the
+    exit code."""
     log.info("stopped")
     os._exit(0)
 
 
 def log_unhandled(_, context):
-    """Logs what no stage has caught, such as a connection that could not be taken."""
+    """Logs errors that no stage has caught, such as a connection that could not be accepted."""
     log.error("loop_fault", why=context.get("message", ""), exc_info=context.get("exception"))
 
 
-def front_ends_of(plan, settings, terms, addresses, decision_loop):
-    """The operator's fronts; without a file of the operator's nothing of theirs is even imported."""
+def build_front_ends(operator_configuration, settings, terms, addresses, decision_loop):
+    """The front ends of the operator's file. Imported here: an assigner without them must not load them."""
     from garnetpaddle.fronts import FrontEnds
 
-    front_ends = FrontEnds(plan, settings, terms, addresses, decision_loop.now, decision_loop.publish)
-    decision_loop.after = front_ends.follow
+    front_ends = FrontEnds(
+        operator_configuration, settings, terms, addresses, decision_loop.now, decision_loop.publish
+    )
+    decision_loop.on_batch = front_ends.follow
     return front_ends
 
 
 def handle_signals(loop, reload, startup_signals):
-    """The loop handles the signals from here on; a SIGHUP that came before it is acted on now."""
+    """Sets the event loop's signal handlers; an earlier SIGHUP causes a reload now."""
     for number in TERMINATION_SIGNALS:
-        loop.add_signal_handler(number, stop)
-    loop.add_signal_handler(signal.SIGHUP, reload.asked.set)
+        loop.add_signal_handler(number, exit_process)
+    loop.add_signal_handler(signal.SIGHUP, reload.requested.set)
     if startup_signals.hand_over():
-        reload.asked.set()
+        reload.requested.set()
 
 
-async def run(given, path, startup_signals, trace, plan=None):
-    """Builds the stages, connects them and runs them; returns only if the Brain fails, with the exit code."""
+async def run(config, path, startup_signals, trace, operator_configuration=None):
+    """Builds, connects and runs the stages; returns only if the Brain fails, with the exit code."""
     loop = asyncio.get_running_loop()
-    settings, seed = given.settings, configuration.seed(given)
-    known = codec.KnownNames(
+    settings, seed = config.settings, configuration.parse_seed(config)
+    known_names = codec.KnownNames(
         {c.name: k for k, c in enumerate(settings.categories)}, tuple(settings.azs), settings.specifics.agents
     )
     handlers, addresses, marks = OrderHandlers(None, None, None), TaskAddresses(), MarkTranslator(seed)
     terms = boot.terms(settings)
     if trace:
         print(f"trace 0 {terms}", flush=True)
-    decision_loop = DecisionLoop(Brain(terms, seed), clock(), handlers, settings.quantum, trace)
-    relay, room = address(given.store.address, "store.address"), given.limits.sockets
-    order_sender = OrderSender(relay, list(known.routes), marks, decision_loop.publish)
-    addresses.update(given.known)
+    decision_loop = DecisionLoop(Brain(terms, seed), make_clock(), handlers, settings.quantum, trace)
+    relay_address, max_sockets = parse_address(config.store.address, "store.address"), config.limits.sockets
+    order_sender = OrderSender(relay_address, list(known_names.routes), marks, decision_loop.publish)
+    addresses.update(config.known)
     prober = Prober(
-        addresses, decision_loop.publish, settings.reporting.how != "none", int(room * PROBES_SHARE)
+        addresses, decision_loop.publish, settings.reporting.how != "none", int(max_sockets * PROBE_SHARE)
     )
-    watch = TaskListWatch(
-        address(given.discovery, "discovery"),
+    task_list_watch = TaskListWatch(
+        parse_address(config.discovery, "discovery"),
         addresses,
         decision_loop.publish,
         settings.discovery == "ask",
-        given.known.generation,
+        config.known.generation,
+    )
+    handlers.submit, handlers.probe, handlers.watch = (
+        order_sender.submit,
+        prober.start,
+        task_list_watch.subscribe,
+    )
+    front_ends = (
+        build_front_ends(operator_configuration, settings, terms, addresses, decision_loop)
+        if operator_configuration
+        else None
     )
-    handlers.table, handlers.probe, handlers.watch = order_sender.submit, prober.start, watch.ask
-    front_ends = front_ends_of(plan, settings, terms, addresses, decision_loop) if plan else None
     if front_ends:
-        handlers.table = lambda reply: (
-            order_sender.submit(kept) if (kept := front_ends.platform_orders(reply)) else None
+        handlers.submit = lambda orders: (
+            order_sender.submit(relay_orders)
+            if (relay_orders := front_ends.platform_orders(orders))
+            else None
         )
-    decision_loop.publish(gp.ListHeard("stale", task_lines(given.known)))
+    decision_loop.publish(gp.ListHeard("stale", task_lines(config.known)))
 
-    def moved(relay):
-        order_sender.move(relay)
-        event_subscription.move(relay)
+    def move_relay(new_address):
+        order_sender.move(new_address)
+        event_subscription.move(new_address)
 
-    event_subscription = EventSubscription(relay, marks, decision_loop.publish)
-    reload = Reload(path, given, {"discovery": watch.move, "store.address": moved})
+    event_subscription = EventSubscription(relay_address, marks, decision_loop.publish)
+    reload = Reload(path, config, {"discovery": task_list_watch.move, "store.address": move_relay})
     loop.set_exception_handler(log_unhandled)
     handle_signals(loop, reload, startup_signals)
-    listener = Listener(decision_loop.publish, known, int(room * PEERS_SHARE))
-    await listener.open(address(given.listen, "listen"))
+    listener = Listener(decision_loop.publish, known_names, int(max_sockets * PEER_SHARE))
+    await listener.open(parse_address(config.listen, "listen"))
     stages = [
-        ("discovery", watch),
+        ("discovery", task_list_watch),
         ("news", event_subscription),
         ("calls", order_sender),
         ("listener", listener),
@@ -133,20 +146,22 @@
         await front_ends.open()
         stages.append(("fronts", front_ends))
     tasks = [asyncio.create_task(run_with_restarts(name, stage.run)) for name, stage in stages]
-    deciding = asyncio.create_task(decision_loop.run())
-    log.info("serving", listen=given.listen, tasks=len(given.known.instances))
-    await asyncio.wait([deciding])
-    # A brain that failed would go on from a state nobody knows: the end is loud, and the start is anew.
-    log.error("brain_failed", exc_info=deciding.exception(), stages=len(tasks))
+    decision_task = asyncio.create_task(decision_loop.run())
+    log.info("serving", listen=config.listen, tasks=len(config.known.instances))
+    await asyncio.wait([decision_task])
+    # After an error the brain's state is undefined: exit with an error, so that a new process starts afresh.
+    log.error("brain_failed", exc_info=decision_task.exception(), stages=len(tasks))
     return 1
 
 
-def main(given, path, startup_signals=None, trace=False, plan=None):
-    """Serves until SIGTERM; returns the exit code. startup_signals: installed ones, where signals may have
-    come already. plan: the operator's, if any."""
-    log_output.begin(given.name)
+def main(config, path, startup_signals=None, trace=False, operator_configuration=None):
+    """Serves until SIGTERM; returns the exit code. startup_signals: the installed ones, if any, since
+    signals may have come already. operator_configuration: operator.OperatorConfiguration, if any."""
+    log_output.configure_logging(config.name)
     try:
-        return asyncio.run(run(given, path, startup_signals or StartupSignals(), trace, plan))
+        return asyncio.run(
+            run(config, path, startup_signals or StartupSignals(), trace, operator_configuration)
+        )
     except OSError as error:
-        log.error("cannot_listen", listen=given.listen, why=error.strerror or str(error))
+        log.error("cannot_listen", listen=config.listen, why=error.strerror or str(error))
         return 1
--- a/garnetpaddle/net/task_list_codec.py
+++ b/garnetpaddle/net/task_list_codec.py
@@ -1,4 +1,4 @@
-"""The task list as discovery sends it, and its conversion into the interface's types."""
+"""The task list in discovery's JSON format, and its conversion into the interface's types."""
 
 import msgspec
 
@@ -29,7 +29,7 @@
 
 
 class TaskList(msgspec.Struct):
-    """A whole list (reset) or the changes since an earlier generation."""
+    """A full list (`reset`) or the changes since an earlier generation."""
 
     generation: int
     reset: bool
@@ -39,7 +39,7 @@
 def task_lines(task_list):
     """The entries as gp.TaskLines; raises ValueError for an unknown lifecycle."""
     return tuple(
-        boot.task_line(
+        boot.make_task_line(
             entry.task,
             entry.zone,
             entry.cell,
--- a/garnetpaddle/net/task_list_watch.py
+++ b/garnetpaddle/net/task_list_watch.py
@@ -1,4 +1,4 @@
-"""The watch on discovery's task list, and the addresses at which the tasks listen."""
+"""Subscription to discovery's task list by long polling, and the addresses of the tasks."""
 
 import asyncio
 import time
@@ -9,15 +9,17 @@
 
 from garnetpaddle import interface as gp
 from garnetpaddle.net import http
-from garnetpaddle.net.configuration import Wrong, address
+from garnetpaddle.net.configuration import Wrong, parse_address
 from garnetpaddle.net.task_list_codec import TaskList, task_lines
 
 PATH = "/discovery/hosts"
-WATCH_MS = 1_000  # long-poll time: a silent agent is noticed soon, and calls cost the agent nothing
-RESPONSE_TIMEOUT = 0.5  # s beyond the long-poll time
+LONG_POLL_MS = 1_000  # long-poll time: a dead agent is noticed soon, and polls cost the agent nothing
+RESPONSE_TIMEOUT = 0.5  # s on top of the long-poll time
 CONNECT_TIMEOUT = 0.5  # s
-MAX_STALE_TIME = 6.0  # s within which the protocol delivers a list; older lists for longer: a new numbering
-BACKOFF = (0.0, 0.05, 0.1, 0.2, 0.4)  # s before a failed call is repeated, by failures in a row
+MAX_STALE_TIME = (
+    6.0  # s within which the protocol delivers a list; older lists for longer mean a new numbering
+)
+BACKOFF = (0.0, 0.05, 0.1, 0.2, 0.4)  # s before a failed poll is retried, by consecutive failures
 log = structlog.get_logger()
 
 
@@ -28,7 +30,7 @@
         self.by_task = {}
 
     def update(self, task_list):
-        """Applies a list, or its changes."""
+        """Applies a full list or a list of changes."""
         if task_list.reset:
             self.by_task = {}
         for entry in task_list.instances:
@@ -36,22 +38,22 @@
                 self.by_task.pop(entry.task, None)
                 continue
             try:
-                self.by_task[entry.task] = address(entry.address, "hostPort")
+                self.by_task[entry.task] = parse_address(entry.address, "hostPort")
             except Wrong as error:
                 log.warning("address_unreadable", task=entry.task, why=str(error))
 
 
 class GenerationCheck:
-    """Keeps a list from being followed by an older one.
+    """Prevents an older list from replacing a newer one.
 
-    Agents of one discovery number generations alike, and one that lags would undo changes; one that stays
-    behind for MAX_STALE_TIME belongs to a discovery that has started a new numbering."""
+    The agents of one discovery service share generation numbers, and a list from one that lags would undo
+    changes. If only older lists come for MAX_STALE_TIME, discovery has started a new numbering."""
 
     def __init__(self, generation, clock=time.monotonic):
         self.generation, self.clock, self.older_since = generation, clock, None
 
     def numbering_restarted(self):
-        """Whether only older lists have come for longer than a list may be late."""
+        """Whether only older lists have come for at least MAX_STALE_TIME."""
         return self.older_since is not None and self.clock() - self.older_since >= MAX_STALE_TIME
 
     def accept(self, task_list):
@@ -65,8 +67,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ListAnswer:
-    """A list that an agent answered with, and its entries as gp.TaskLines."""
+class ListResponse:
+    """A list received from an agent, and its entries as gp.TaskLines."""
 
     task_list: TaskList
     lines: tuple[gp.TaskLine, ...]
@@ -74,187 +76,191 @@
 
 @dataclass(frozen=True, slots=True)
 class ListFailure:
-    """Why a call to an agent brought no list."""
+    """Why a poll returned no list."""
 
     why: str
 
 
 class Agent:
-    """One address of discovery: the connection to it, and the generation up to which it was followed."""
+    """An agent of discovery: its address, the connection, and the generation of its latest list."""
 
-    def __init__(self, at):
-        self.address, self.since, self.link = at, None, None
+    def __init__(self, address):
+        self.address, self.since, self.connection = address, None, None
 
     def close(self):
         """Closes the connection, if there is one."""
-        if self.link:
-            self.link.close()
+        if self.connection:
+            self.connection.close()
 
     async def poll(self):
-        """One call: the whole list at first, then changes as they come. ListAnswer or ListFailure."""
-        if not self.link or not self.link.usable():
+        """Requests the full list at first, then waits for changes; returns ListResponse or ListFailure."""
+        if not self.connection or not self.connection.usable():
             self.close()
-            self.link = await http.connect(self.address, CONNECT_TIMEOUT)
-            if isinstance(self.link, http.NotSent):
-                result, self.link = self.link, None
+            self.connection = await http.connect(self.address, CONNECT_TIMEOUT)
+            if isinstance(self.connection, http.NotSent):
+                result, self.connection = self.connection, None
                 return ListFailure(result.why)
         first = self.since is None
-        target = PATH if first else f"{PATH}?since={self.since}&timeout_ms={WATCH_MS}"
-        result = await self.link.call("GET", target, RESPONSE_TIMEOUT + (0 if first else WATCH_MS / 1_000))
+        target = PATH if first else f"{PATH}?since={self.since}&timeout_ms={LONG_POLL_MS}"
+        result = await self.connection.call(
+            "GET", target, RESPONSE_TIMEOUT + (0 if first else LONG_POLL_MS / 1_000)
+        )
         if not isinstance(result, http.Response):
             return ListFailure(result.why)
         if result.status != 200:
-            return ListFailure(f"answered {result.status}")
+            return ListFailure(f"HTTP status {result.status}")
         return self.decode(result.body)
 
     def decode(self, body):
-        """Decodes a list; after an unreadable one the whole list is asked for again."""
+        """Decodes a list; after an invalid one the next poll requests the full list."""
         try:
             task_list = msgspec.json.decode(body, type=TaskList)
             lines = task_lines(task_list)
         except (ValueError, OverflowError, RecursionError) as error:
             self.since = None
-            return ListFailure(f"unreadable list: {error!s:.80}")
+            return ListFailure(f"invalid list: {error!s:.80}")
         self.since = task_list.generation
-        return ListAnswer(task_list, lines)
+        return ListResponse(task_list, lines)
 
 
 class TaskListWatch:
-    """Follows the task list and publishes it as gp.ListHeard.
+    """Keeps a subscription to the task list and publishes it as gp.ListHeard.
 
-    must_ask: each Watch order starts following, and a failure ends it; otherwise it is followed always.
-    generation: that of the list as last known."""
+    must_ask: a Watch order starts the subscription and a failure ends it; otherwise it is permanent.
+    generation: that of the last known list."""
 
-    def __init__(self, at, addresses, publish, must_ask, generation=0):
-        self.agent, self.addresses, self.publish, self.must_ask = Agent(at), addresses, publish, must_ask
-        self.poll_task, self.target_address, self.move_task, self.last_polls = None, at, None, set()
-        self.failures, self.answer_owed, self.generation_check = 0, False, GenerationCheck(generation)
-        self.asked, self.moved = asyncio.Event(), asyncio.Event()
+    def __init__(self, address, addresses, publish, must_ask, generation=0):
+        self.agent, self.addresses, self.publish, self.must_ask = Agent(address), addresses, publish, must_ask
+        self.poll_task, self.target_address, self.move_task, self.last_polls = None, address, None, set()
+        self.failures, self.must_publish_next, self.generation_check = 0, False, GenerationCheck(generation)
+        self.subscribed, self.agent_replaced = asyncio.Event(), asyncio.Event()
 
-    def ask(self):
-        """A Watch order: the next list is published even if it is empty."""
-        self.answer_owed = True
-        self.asked.set()
+    def subscribe(self):
+        """Handles a Watch order: the next list is published even if it is empty."""
+        self.must_publish_next = True
+        self.subscribed.set()
 
-    def move(self, at):
-        """Another agent takes over once it has sent its list; until then the present one is followed."""
-        if at == self.target_address:
+    def move(self, address):
+        """Moves to another agent once that has sent its list; until then the current one is followed."""
+        if address == self.target_address:
             return
-        self.target_address = at
+        self.target_address = address
         if self.move_task:
             self.move_task.cancel()
-        self.move_task = asyncio.get_running_loop().create_task(self.take_over(Agent(at)))
+        self.move_task = asyncio.get_running_loop().create_task(self.retry_move(Agent(address)))
 
-    async def take_over(self, agent):
-        """Tries to move to an agent until it succeeds, whatever it fails by."""
-        tries, logged = 0, None
+    async def retry_move(self, agent):
+        """Retries a move to an agent until it succeeds, whatever the error."""
+        attempts, logged = 0, None
         try:
             while True:
-                if self.must_ask and not self.asked.is_set():
-                    result = None  # nothing is followed: the next order asks the new agent
+                if self.must_ask and not self.subscribed.is_set():
+                    result = None  # not subscribed: the next Watch order will poll the new agent
                     break
                 result = await self.try_poll(agent)
-                tries += 1
-                why = self.unfit(result)
+                attempts += 1
+                why = self.reason_to_wait(result)
                 if not why:
                     break
                 if why != logged:
                     log.warning("move_waits", field="discovery", why=why)
                 logged = why
-                await asyncio.sleep(BACKOFF[min(tries, len(BACKOFF) - 1)])
+                await asyncio.sleep(BACKOFF[min(attempts, len(BACKOFF) - 1)])
             self.replace_agent(agent)
             agent = None
-            log.info("discovery_moved", tries=tries)
+            log.info("discovery_moved", tries=attempts)
             if result:
                 self.receive(result)
-            self.moved.set()
+            self.agent_replaced.set()
         finally:
             if agent:
                 agent.close()
 
     async def try_poll(self, agent):
-        """A poll for a move: an unexpected error is a failure like any other."""
+        """Polls for a move; an unexpected error becomes a ListFailure."""
         try:
             return await agent.poll()
         except Exception as error:
             log.exception("move_failed", field="discovery")
             return ListFailure(type(error).__name__)
 
-    def unfit(self, result):
-        """Why an agent with this answer cannot take over yet; "" if it can. The changes that one with an
-        older list sends would be ignored for a while, so the former agent is kept until it has caught up."""
+    def reason_to_wait(self, result):
+        """Why an agent with this poll result cannot be used yet; "" if it can.
+
+        Changes from an agent with an older list would be ignored for a while, so the former agent is kept
+        until the new one has caught up."""
         if isinstance(result, ListFailure):
             return result.why
         if result.task_list.generation >= self.generation_check.generation or self.failures:
             return ""
-        return "older than what was heard"
+        return "list older than the current one"
 
     def replace_agent(self, agent):
-        """The agent takes the place of the former, whose poll under way is still read to its end: an answer
-        that is on its way, or received and not yet read, counts."""
+        """Makes an agent the current one. A running poll of the former agent is still completed, so that a
+        response that is on its way or not yet read is not lost."""
         former, self.agent = self.agent, agent
         if not self.poll_task:
             former.close()
             return
-        last = asyncio.get_running_loop().create_task(self.finish_last_poll(former, self.poll_task))
-        self.last_polls.add(last)
-        last.add_done_callback(self.last_polls.discard)
+        last_poll = asyncio.get_running_loop().create_task(self.finish_last_poll(former, self.poll_task))
+        self.last_polls.add(last_poll)
+        last_poll.add_done_callback(self.last_polls.discard)
 
     async def finish_last_poll(self, agent, poll_task):
-        """Receives the answer to a replaced agent's last poll."""
+        """Handles the result of a replaced agent's last poll."""
         try:
             await asyncio.wait({poll_task})
             result = poll_task.result()
-            if isinstance(result, ListAnswer):
+            if isinstance(result, ListResponse):
                 self.receive(result)
         finally:
             agent.close()
 
     async def run(self):
-        """Polls the present agent for ever."""
+        """Polls the current agent forever."""
         while True:
             if self.must_ask:
-                await self.asked.wait()
+                await self.subscribed.wait()
             agent = self.agent
-            self.moved.clear()
+            self.agent_replaced.clear()
             self.poll_task = asyncio.ensure_future(agent.poll())
-            moved = asyncio.ensure_future(self.moved.wait())
+            replaced = asyncio.ensure_future(self.agent_replaced.wait())
             try:
-                await asyncio.wait({self.poll_task, moved}, return_when=asyncio.FIRST_COMPLETED)
+                await asyncio.wait({self.poll_task, replaced}, return_when=asyncio.FIRST_COMPLETED)
             finally:
-                moved.cancel()
+                replaced.cancel()
             if agent is not self.agent:
                 continue
             poll_task, self.poll_task = self.poll_task, None
             result = poll_task.result()
             if isinstance(result, ListFailure):
-                await self.fail(result)
+                await self.handle_failure(result)
                 continue
             if self.failures:
                 log.info("discovery_back")
             self.receive(result)
 
-    async def fail(self, failure):
-        """Ends the watch where it must be asked for; otherwise waits before the next poll."""
+    async def handle_failure(self, failure):
+        """Ends the subscription if it must be asked for; otherwise waits for the backoff."""
         if not self.failures:
             log.warning("discovery_lost", why=failure.why)
         self.failures += 1
         if self.must_ask:
-            self.asked.clear()
-            self.answer_owed = False
+            self.subscribed.clear()
+            self.must_publish_next = False
             self.publish(gp.ListHeard("lost", ()))
         else:
             await asyncio.sleep(BACKOFF[min(self.failures - 1, len(BACKOFF) - 1)])
 
-    def receive(self, answer):
-        """Applies and publishes a list, unless it is older than the last one."""
-        self.failures, task_list = 0, answer.task_list
+    def receive(self, response):
+        """Applies and publishes a list, unless it is older than the current one."""
+        self.failures, task_list = 0, response.task_list
         if not self.generation_check.accept(task_list):
             log.warning("list_older", generation=task_list.generation, heard=self.generation_check.generation)
             if self.generation_check.numbering_restarted():
-                self.agent.since = None  # asks for the whole list
+                self.agent.since = None  # makes the next poll request the full list
             return
         self.addresses.update(task_list)
-        if answer.lines or task_list.reset or self.answer_owed:
-            self.answer_owed = False
-            self.publish(gp.ListHeard("full" if task_list.reset else "changes", answer.lines))
+        if response.lines or task_list.reset or self.must_publish_next:
+            self.must_publish_next = False
+            self.publish(gp.ListHeard("full" if task_list.reset else "changes", response.lines))
--- a/garnetpaddle/wirehost/__init__.py
+++ b/garnetpaddle/wirehost/__init__.py
@@ -1,1 +1,1 @@
-"""Host of the decisions on the simulator's wire: JSON lines on standard input and output."""
+"""Runs Brains for the simulator: JSON lines on standard input and output."""
--- a/garnetpaddle/wirehost/translate.py
+++ b/garnetpaddle/wirehost/translate.py
@@ -1,7 +1,7 @@
-"""Conversion between the messages of the simulator's wire and the interface's events and orders."""
+"""Conversion of the simulator's messages to the interface's events, and of orders to messages."""
 
 from garnetpaddle import interface as gp
-from garnetpaddle.boot import UnknownValue, load, lookup, task_line, tenths
+from garnetpaddle.boot import UnknownValue, lookup, make_task_line, normalize_load, tenths
 from garnetpaddle.wirehost import wire
 
 STATES = {"on": "ready", "fading": "draining", "off": "gone"}
@@ -18,81 +18,101 @@
 TRIES = {"none": 0, "on proof": 1, "once": 2}
 
 
-def entries(rows):
+def task_lines(entries):
     """Task list entries as gp.TaskLines."""
     return tuple(
-        task_line(
-            r.task,
-            r.az,
-            r.pod,
-            lookup(STATES, r.status, "elements.status"),
-            r.size,
-            tenths(r.started_at),
-            r.machine,
+        make_task_line(
+            entry.task,
+            entry.az,
+            entry.pod,
+            lookup(STATES, entry.status, "elements.status"),
+            entry.size,
+            tenths(entry.started_at),
+            entry.machine,
         )
-        for r in rows
+        for entry in entries
     )
 
 
-def event(m, banks, routes):
-    """The interface's event for a message, or None for one that no decision reads."""
-    match m:
+def message_event(message, task_lists, routes):
+    """The interface's event for a message, or None for a message that the Brain does not need."""
+    match message:
         case wire.Endpoints():
-            form = lookup(FORMS, m.form, "form")
-            if form != "lost" and m.bank not in banks:
-                raise UnknownValue("bank", m.bank)
-            return gp.ListHeard(form, () if form == "lost" else banks[m.bank])
+            form = lookup(FORMS, message.form, "form")
+            if form != "lost" and message.bank not in task_lists:
+                raise UnknownValue("bank", message.bank)
+            return gp.ListHeard(form, () if form == "lost" else task_lists[message.bank])
         case wire.DeadlineHit():
-            return gp.TimerDue(m.key_back)
+            return gp.TimerDue(message.key_back)
         case wire.Probed():
-            outcome = OUTCOMES.get(m.verdict, "other")
-            return gp.ProbeAnswered(m.task, tenths(m.cost_time), outcome, load(m.usage, LOADS))
+            outcome = OUTCOMES.get(message.verdict, "other")
+            return gp.ProbeAnswered(
+                message.task, tenths(message.cost_time), outcome, normalize_load(message.usage, LOADS)
+            )
         case wire.Connected():
-            return gp.ProxyJoined(m.forwarder, m.size or 0.0, bool(m.flag), m.az or "")
+            return gp.ProxyJoined(
+                message.forwarder, message.size or 0.0, bool(message.flag), message.az or ""
+            )
         case wire.LostStream():
-            return gp.ProxyLeft(m.forwarder)
+            return gp.ProxyLeft(message.forwarder)
         case wire.TrafficReport():
-            latency = (m.cost_time or 0.0) * 10_000
+            latency = (message.cost_time or 0.0) * 10_000
             return gp.TaskSums(
-                m.task, m.az or "", m.tries_n, m.unanswered, latency, tenths(m.span), load(m.usage, LOADS)
+                message.task,
+                message.az or "",
+                message.tries_n,
+                message.unanswered,
+                latency,
+                tenths(message.span),
+                normalize_load(message.usage, LOADS),
             )
         case wire.Demand():
             return gp.RouteSums(
-                m.forwarder, lookup(routes, m.band, "band"), m.tries_n, m.unanswered, tenths(m.span)
+                message.forwarder,
+                lookup(routes, message.band, "band"),
+                message.tries_n,
+                message.unanswered,
+                tenths(message.span),
             )
         case wire.Installed():
-            return gp.Applied(m.forwarder, m.gen, tenths(m.cost_time))
+            return gp.Applied(message.forwarder, message.gen, tenths(message.cost_time))
     return None
 
 
-def order(i, o):
-    """An order as a message of the wire."""
-    match o:
+def order_message(instance, order):
+    """The message for an order."""
+    match order:
         case gp.SetLine():
-            return {"msg": "SET_LINE", "i": i, "task": o.task, "size": o.weight, "sheet": o.table}
+            return {
+                "msg": "SET_LINE",
+                "i": instance,
+                "task": order.task,
+                "size": order.weight,
+                "sheet": order.table,
+            }
         case gp.Bind():
-            return {"msg": "BIND", "i": i, "forwarder": o.proxy, "sheet": o.table, "lanes": 0}
+            return {"msg": "BIND", "i": instance, "forwarder": order.proxy, "sheet": order.table, "lanes": 0}
         case gp.Withdraw():
-            return {"msg": "TAKE_OUT", "i": i, "task": o.task, "flag": o.out}
+            return {"msg": "TAKE_OUT", "i": instance, "task": order.task, "flag": order.out}
         case gp.Admit():
-            lanes = sum(1 << k for k in o.routes)
-            tries = TRIES[o.tries]
+            lanes = sum(1 << k for k in order.routes)
+            tries = TRIES[order.tries]
             return {
                 "msg": "ADMIT",
-                "i": i,
-                "sheet": o.table,
+                "i": instance,
+                "sheet": order.table,
                 "lanes": lanes,
-                "level": o.level,
+                "level": order.level,
                 "retry_mode": tries,
             }
         case gp.Seal():
-            return {"msg": "SEAL", "i": i, "gen": o.mark, "flag": o.all_proxies}
+            return {"msg": "SEAL", "i": instance, "gen": order.mark, "flag": order.all_proxies}
         case gp.Probe():
-            return {"msg": "PROBE", "i": i, "task": o.task}
+            return {"msg": "PROBE", "i": instance, "task": order.task}
         case gp.Watch():
-            return {"msg": "KEEP_INFORMED", "i": i, "flag": True}
+            return {"msg": "KEEP_INFORMED", "i": instance, "flag": True}
         case gp.Timer():
-            return {"msg": "ARM", "i": i, "fire_at": o.at / 10_000, "key_back": o.key}
+            return {"msg": "ARM", "i": instance, "fire_at": order.at / 10_000, "key_back": order.key}
         case gp.Note():
-            return {"msg": "PRINT", "i": i, "text": o.text}
-    raise TypeError(f"no wire form for {o!r}")
+            return {"msg": "PRINT", "i": instance, "text": order.text}
+    raise TypeError(f"order has no message: {order!r}")
--- a/garnetpaddle/wirehost/wire.py
+++ b/garnetpaddle/wirehost/wire.py
@@ -1,4 +1,4 @@
-"""The messages of the simulator's wire as msgspec structures, with the field names of the wire."""
+"""The simulator's messages as msgspec structures, with the field names of its protocol."""
 
 import msgspec
 
@@ -8,7 +8,7 @@
 
 
 class Incoming(msgspec.Struct, tag_field="msg"):
-    """Any message to the host."""
+    """A message to the host."""
 
 
 class ForInstance(Incoming):
@@ -18,7 +18,7 @@
 
 
 class Mark(Incoming, tag="MARK"):
-    """Begins a batch at a time."""
+    """Begins a batch; `wall` is its time in seconds."""
 
     wall: float
 
@@ -30,7 +30,7 @@
 
 
 class Entry(msgspec.Struct):
-    """A task of a list."""
+    """A task list entry."""
 
     task: str
     status: str
@@ -42,7 +42,7 @@
 
 
 class SnapshotRows(Incoming, tag="SNAPSHOT_ROWS"):
-    """A task list, kept under a number."""
+    """A task list that later messages refer to by its number."""
 
     bank: int
     elements: list[Entry]
@@ -62,7 +62,7 @@
 
 
 class Endpoints(ForInstance, tag="ENDPOINTS"):
-    """An instance hears a task list, or that it was lost."""
+    """A task list for an instance, or the loss of its subscription."""
 
     form: str
     bank: int | None = None
@@ -75,7 +75,7 @@
 
 
 class Probed(ForInstance, tag="PROBED"):
-    """A probe's answer."""
+    """The result of a probe."""
 
     task: str
     verdict: str
@@ -84,7 +84,7 @@
 
 
 class Message(ForInstance, tag="MESSAGE"):
-    """Assigners share nothing: read and passed over."""
+    """A message between assigners: ignored, since they share nothing."""
 
 
 class Connected(ForInstance, tag="CONNECTED"):
@@ -125,14 +125,14 @@
 
 
 class Installed(ForInstance, tag="INSTALLED"):
-    """A proxy has applied a seal."""
+    """A proxy's acknowledgement of a seal."""
 
     forwarder: int
     gen: int
     cost_time: float | None = None
 
 
-ANY = (
+AnyMessage = (
     Mark
     | Flush
     | SnapshotRows
@@ -149,5 +149,5 @@
     | Installed
 )
 
-decode = msgspec.json.Decoder(ANY).decode
+decode = msgspec.json.Decoder(AnyMessage).decode
 encode = msgspec.json.Encoder().encode
--- a/tests/signal_tries.py
+++ b/tests/signal_tries.py
@@ -108,7 +108,7 @@
         from garnetpaddle.net import startup_signals as startup
 
         traced = [module.__file__ for module in (asyncio.unix_events, serve, startup)]
-        reload = types.SimpleNamespace(asked=asyncio.Event())
+        reload = types.SimpleNamespace(requested=asyncio.Event())
         lines = itertools.count()
 
         def trace(frame, event, argument):
@@ -128,7 +128,7 @@
             await asyncio.Event().wait()
         for _ in range(LOOP_TURNS):
             await asyncio.sleep(0)
-        return KEPT if reload.asked.is_set() else NOT_KEPT
+        return KEPT if reload.requested.is_set() else NOT_KEPT
 
     def child(ready):
         start_serve(lambda trace, operator, startup_signals: asyncio.run(run(startup_signals, ready)))
--- a/tests/test_codecs.py
+++ b/tests/test_codecs.py
@@ -1,4 +1,4 @@
-"""Bytes in, events out; orders in, bytes out."""
+"""Codecs of the network transport: parsing of messages, encoding of orders, reading of the configuration."""
 
 import json
 
@@ -43,7 +43,7 @@
 whim\r
 \r
 """
-NEWS = (
+EVENT_STREAM = (
     b"\xef\xbb\xbf: hello\r\n\r\nevent: attach\r\ndata: id=17&site=a&rps=21.5&new=1\r\n\r\n:\n\n"
     b"event: whim\rdata: x=1\r\rid: 4\nevent: done\ndata: id=17&seq=905\ndata:&ms=310.4\n\n"
     b"event: detach\ndata:id=17\n\nevent: attach\ndata: id=18&site=b\n\nevent: empty\n\n"
@@ -51,44 +51,47 @@
 
 
 def read_lines(chunks):
-    frames = LineSplitter(PROTOCOL_LINE_END, 1 << 20)
-    read = [message_codec.parse_line(line, KNOWN) for chunk in chunks for line in frames.split(chunk)]
-    return [shown(each) for each in read]
+    splitter = LineSplitter(PROTOCOL_LINE_END, 1 << 20)
+    parsed = [message_codec.parse_line(line, KNOWN) for chunk in chunks for line in splitter.split(chunk)]
+    return [shown(message) for message in parsed]
 
 
-def read_news(chunks):
-    stream, told = EventStreamParser(), []
-    for kind, words in (each for chunk in chunks for each in stream.feed(chunk)):
+def read_event_stream(chunks):
+    parser, parsed = EventStreamParser(), []
+    for kind, fields in (event for chunk in chunks for event in parser.feed(chunk)):
         try:
-            told.append(
-                shown(message_codec.parse_event(kind, words, event_subscription.NO_ROUTES))
+            parsed.append(
+                shown(message_codec.parse_event(kind, fields, event_subscription.NO_ROUTES))
                 if kind
-                else "sign of life"
+                else "keep-alive"
             )
         except (KeyError, ValueError) as error:
-            told.append(f"{kind}: {error}")
-    return told
+            parsed.append(f"{kind}: {error}")
+    return parsed
 
 
-@pytest.mark.parametrize(("read", "text", "name"), [(read_lines, LINES, "lines"), (read_news, NEWS, "news")])
-def test_what_is_heard_is_the_same_wherever_the_bytes_are_cut(read, text, name):
+@pytest.mark.parametrize(
+    ("read", "text", "name"),
+    [(read_lines, LINES, "protocol_lines"), (read_event_stream, EVENT_STREAM, "event_stream")],
+)
+def test_parsing_does_not_depend_on_chunk_boundaries(read, text, name):
     whole = read([text])
     matches(name, whole)
-    for at in range(1, len(text)):
-        assert read([text[:at], text[at:]]) == whole
+    for cut in range(1, len(text)):
+        assert read([text[:cut], text[cut:]]) == whole
     assert read([text[k : k + 1] for k in range(len(text))]) == whole
 
 
-def test_a_line_is_a_slice_of_what_was_read():
+def test_lines_are_slices_of_the_received_chunk():
     chunk = b"one\r\ntwo\r\nthr"
-    frames = LineSplitter(PROTOCOL_LINE_END, 8)
-    assert all(line.obj is chunk for line in frames.split(chunk))
-    assert not frames.too_long
-    assert list(frames.split(b"eeeeee")) == [] and frames.too_long
+    splitter = LineSplitter(PROTOCOL_LINE_END, 8)
+    assert all(line.obj is chunk for line in splitter.split(chunk))
+    assert not splitter.too_long
+    assert list(splitter.split(b"eeeeee")) == [] and splitter.too_long
 
 
-def test_a_word_as_long_as_a_message_is_read_in_one_pass():
-    """It costs the square of its length, some hours, where each of its letters is tried as a beginning."""
+def test_a_word_as_long_as_a_message_is_parsed_in_linear_time():
+    """A regular expression that tries each character as a field's start takes quadratic time, here hours."""
     assert isinstance(
         message_codec.parse_line(memoryview(b"x" * (1 << 20)), KNOWN), message_codec.InvalidMessage
     )
@@ -98,9 +101,9 @@
     return gp.ProxyJoined(proxy, rate, False, "a")
 
 
-def test_a_gap_of_the_news_tells_who_left():
-    told = []
-    membership = ProxyMembership(told.append)
+def test_proxies_not_listed_after_a_gap_have_left():
+    published = []
+    membership = ProxyMembership(published.append)
     first, second = StreamView(), StreamView()
     membership.open(first)
     for event in (joined(1), joined(2), joined(3)):
@@ -111,32 +114,32 @@
     membership.open(second)
     membership.receive(second, joined(3))
     membership.mark_complete(second)
-    assert told[3:] == [gp.ProxyLeft(1), joined(3), gp.ProxyLeft(2)]
+    assert published[3:] == [gp.ProxyLeft(1), joined(3), gp.ProxyLeft(2)]
 
 
 @pytest.mark.parametrize("early", [False, True])
-def test_a_planned_move_of_the_news_tells_each_thing_once(early):
-    """Whether the former stream breaks off before the new one has named all (early) or not."""
-    told = []
-    membership = ProxyMembership(told.append)
+def test_a_move_of_the_event_stream_publishes_each_event_once(early):
+    """early: the previous stream ends before the new one has listed all proxies."""
+    published = []
+    membership = ProxyMembership(published.append)
     first, second = StreamView(), StreamView()
     membership.open(first)
     for proxy in range(1, 6):
         membership.receive(first, joined(proxy))
     membership.mark_complete(first)
-    told.clear()
+    published.clear()
     membership.open(second)
-    for proxy in (1, 2, 4, 6):  # 3 and 5 left and 6 joined in between
+    for proxy in (1, 2, 4, 6):  # 3 and 5 have left and 6 has joined
         membership.receive(second, joined(proxy))
     membership.receive(first, gp.ProxyLeft(3))
     membership.receive(first, gp.Applied(1, 7, 0))
     membership.receive(second, gp.Applied(1, 7, 0))
     membership.receive(second, gp.Applied(2, 7, 0))
-    for event in (gp.ProxyLeft(4), joined(4, 9.0)):  # only the new one tells
+    for event in (gp.ProxyLeft(4), joined(4, 9.0)):  # only on the new stream
         membership.receive(second, event)
     if early:
         assert membership.close(first)
-        assert gp.ProxyLeft(5) not in told
+        assert gp.ProxyLeft(5) not in published
     membership.mark_complete(second)
     membership.mark_complete(second)
     assert membership.can_switch() != early
@@ -144,7 +147,7 @@
         membership.switch()
     membership.receive(first, gp.ProxyLeft(1))
     membership.receive(second, joined(2, 9.0))
-    assert sorted(map(shown, told)) == sorted(
+    assert sorted(map(shown, published)) == sorted(
         map(
             shown,
             [
@@ -160,7 +163,7 @@
     )
 
 
-REPLY = [
+ORDERS = [
     gp.Withdraw("s-a", False),
     gp.SetLine(1, "s-a", 1.5),
     gp.SetLine(1, "s-b", 0.0),
@@ -172,31 +175,31 @@
 ]
 
 
-def test_orders_become_calls():
+def test_orders_are_encoded_as_requests():
     marks = order_codec.MarkTranslator(70_000)
-    said = []
-    for most in (60_000, 60, 1):
-        said.append(f"-- at most {most} bytes a call")
-        for part in order_codec.split_into_calls(REPLY, ["read", "write"], marks, most):
-            said.append(";".join(each for _, each in part))
-    said.append(order_codec.request_body(part).decode())
-    matches("calls", said)
+    encoded = []
+    for limit in (60_000, 60, 1):
+        encoded.append(f"-- at most {limit} bytes per request")
+        for call in order_codec.split_into_calls(ORDERS, ["read", "write"], marks, limit):
+            encoded.append(";".join(text for _, text in call))
+    encoded.append(order_codec.request_body(call).decode())
+    matches("relay_requests", encoded)
 
 
-def test_marks_of_a_former_life_are_told_apart():
+def test_marks_of_an_earlier_process_are_ignored():
     marks = order_codec.MarkTranslator(70_000)
     sent = [marks.to_wire(mark) for mark in (0, 1, 65_535)]
-    answers = [marks.from_wire(gp.Applied(4, mark, 10)) for mark in (*sent, 12)]
-    assert [a and a.mark for a in answers] == [0, 1, 65_535, None]
+    events = [marks.from_wire(gp.Applied(4, mark, 10)) for mark in (*sent, 12)]
+    assert [event and event.mark for event in events] == [0, 1, 65_535, None]
 
 
-TAKEN = "<Response><entries><item><taken>{}</taken></item></entries></Response>"
+ACCEPTED = "<Response><entries><item><taken>{}</taken></item></entries></Response>"
 
 
 @pytest.mark.parametrize(
-    ("status", "body", "means"),
+    ("status", "body", "expected"),
     [
-        (200, "<?xml version='1.0'?>" + TAKEN.format(2), order_codec.Accepted(2)),
+        (200, "<?xml version='1.0'?>" + ACCEPTED.format(2), order_codec.Accepted(2)),
         (
             400,
             "<Response><Errors><Error><Code>limit</Code></Error></Errors></Response>",
@@ -207,18 +210,21 @@
             "<Response><entries><item><error>malformed</error></item></entries></Response>",
             order_codec.Rejected("malformed"),
         ),
-        *((200, TAKEN.format(spoilt), None) for spoilt in ("two", "", "-1", "4", "1_0", "1.0", "9" * 5_000)),
-        (500, TAKEN.format(2), None),
-        (200, TAKEN.format(1) * 2, None),
-        (200, TAKEN.format("1</taken><taken>2"), None),
+        *(
+            (200, ACCEPTED.format(invalid), None)
+            for invalid in ("two", "", "-1", "4", "1_0", "1.0", "9" * 5_000)
+        ),
+        (500, ACCEPTED.format(2), None),
+        (200, ACCEPTED.format(1) * 2, None),
+        (200, ACCEPTED.format("1</taken><taken>2"), None),
         (200, "<Response><entries><item></item></entries></Response>", None),
         (503, "<Oh/>", None),
         (200, "<Response><entries>", None),
         (200, "", None),
     ],
 )
-def test_answers_of_the_relay(status, body, means):
-    assert order_codec.parse_response(status, bytearray(body.encode()), 3) == means
+def test_relay_responses(status, body, expected):
+    assert order_codec.parse_response(status, bytearray(body.encode()), 3) == expected
 
 
 GIVEN = {
@@ -248,25 +254,25 @@
 
 
 def written(tmp_path, *changes):
-    given = json.loads(json.dumps(GIVEN))
+    config = json.loads(json.dumps(GIVEN))
     for keys, value in changes:
         *path, last = keys.split("/")
-        at = given
+        target = config
         for key in path:
-            at = at[int(key) if isinstance(at, list) else key]
-        at[last] = value
+            target = target[int(key) if isinstance(target, list) else key]
+        target[last] = value
     path = tmp_path / "given.json"
-    path.write_text(json.dumps(given))
+    path.write_text(json.dumps(config))
     return str(path)
 
 
 def test_a_configuration_is_read(tmp_path):
-    given = configuration.read(written(tmp_path), {"ROUTER_NAME": "n3"})
-    assert (configuration.seed(given), given.limits.sockets) == (0x8C1F, 64)
+    config = configuration.read(written(tmp_path), {"ROUTER_NAME": "n3"})
+    assert (configuration.parse_seed(config), config.limits.sockets) == (0x8C1F, 64)
 
 
 @pytest.mark.parametrize(
-    ("keys", "value", "named"),
+    ("keys", "value", "field"),
     [
         ("seed", "xyz", "seed"),
         ("listen", "nowhere", "listen"),
@@ -281,12 +287,12 @@
         ("known/instances/0/lifecycle", "asleep", "instances.lifecycle"),
     ],
 )
-def test_what_is_wrong_is_named(tmp_path, keys, value, named):
-    with pytest.raises(configuration.Wrong, match=named.replace("$", r"\$")):
+def test_an_invalid_field_is_named(tmp_path, keys, value, field):
+    with pytest.raises(configuration.Wrong, match=field.replace("$", r"\$")):
         configuration.read(written(tmp_path, (keys, value)), {})
 
 
-def test_variables_agree_with_the_file(tmp_path):
+def test_environment_must_agree_with_the_file(tmp_path):
     with pytest.raises(configuration.Wrong, match="ROUTER_NAME"):
         configuration.read(written(tmp_path), {"ROUTER_NAME": "n4"})
     with pytest.raises(configuration.Wrong, match="ROUTER_CONFIG"):
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -1,4 +1,4 @@
-"""The stages on loopback, against stand-ins that misbehave by a script."""
+"""The network stages on loopback, against scripted peers."""
 
 import asyncio
 import dataclasses
@@ -33,15 +33,15 @@
 from garnetpaddle.net.order_codec import MarkTranslator
 from garnetpaddle.net.order_sender import OrderSender
 
-PATIENT, HASTY = 60.0, 0.01  # s: where an answer comes, and where none ever does
+LONG_TIMEOUT, SHORT_TIMEOUT = 60.0, 0.01  # s: where a response is expected, and where none ever comes
 pytestmark = pytest.mark.usefixtures("patient")
 A, B, C = (gp.SetLine(1, name, 1.0) for name in ("s-a", "s-b", "s-c"))
 
 
 @pytest.fixture
 def patient(monkeypatch):
-    """No wait ends by itself, however slow the machine is; a test of silence sets its own."""
-    for stage, wait in (
+    """Long timeouts, so that none expires on a slow machine; tests of timeouts set their own."""
+    for module, timeout in (
         (order_sender, "RESPONSE_TIMEOUT"),
         (order_sender, "CONNECT_TIMEOUT"),
         (order_sender, "MAX_IDLE"),
@@ -50,60 +50,64 @@
         (task_list_watch, "RESPONSE_TIMEOUT"),
         (task_list_watch, "CONNECT_TIMEOUT"),
     ):
-        monkeypatch.setattr(stage, wait, PATIENT)
+        monkeypatch.setattr(module, timeout, LONG_TIMEOUT)
 
 
-def sent_back(why):
-    return http(f"<Response><Errors><Error><Code>{why}</Code></Error></Errors></Response>", "400 Bad Request")
+def rejection(code):
+    return http(
+        f"<Response><Errors><Error><Code>{code}</Code></Error></Errors></Response>", "400 Bad Request"
+    )
 
 
-LANE = {
-    "answered": [taken(2), taken(1)],
-    "in_pieces": [[bytes([b]) for b in taken(2)[0]], taken(1)],
-    "short_taken": [taken(2), taken(2), taken(1)],
-    "limit": [sent_back("limit"), taken(2)],
-    "breaks": ["break", taken(2)],
-    "unreadable": [http("<Response"), taken(2)],
-    "garbage": [[b"whim\r\n\r\n"], taken(2)],
-    "half_silent": [[b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n<a/>"], taken(2)],
+RELAY_RESPONSES = {
+    "accepted": [taken(2), taken(1)],
+    "byte_by_byte": [[bytes([b]) for b in taken(2)[0]], taken(1)],
+    "partly_accepted": [taken(2), taken(2), taken(1)],
+    "rejected": [rejection("limit"), taken(2)],
+    "reset": ["break", taken(2)],
+    "invalid_xml": [http("<Response"), taken(2)],
+    "invalid_http": [[b"whim\r\n\r\n"], taken(2)],
+    "silent_within_body": [[b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n<a/>"], taken(2)],
     "silent": [None],
 }
 
 
-@pytest.mark.parametrize("name", LANE)
-def test_the_lane_tells_how_far_each_reply_came(name, monkeypatch):
-    script, told = LANE[name], []
+@pytest.mark.parametrize("name", RELAY_RESPONSES)
+def test_order_sender_reports_how_far_each_batch_got(name, monkeypatch):
+    script, published = RELAY_RESPONSES[name], []
     if "silent" in name:
-        monkeypatch.setattr(order_sender, "RESPONSE_TIMEOUT", HASTY)
+        monkeypatch.setattr(order_sender, "RESPONSE_TIMEOUT", SHORT_TIMEOUT)
 
-    async def play():
+    async def scenario():
         async with StandIn(*script) as relay:
-            sender = OrderSender(relay.address, ["read"], MarkTranslator(0), told.append)
-            sender.submit([A, B] if name != "short_taken" else [A, B, gp.Bind(4, 1), gp.Seal(3, False)])
+            sender = OrderSender(relay.address, ["read"], MarkTranslator(0), published.append)
+            sender.submit([A, B] if name != "partly_accepted" else [A, B, gp.Bind(4, 1), gp.Seal(3, False)])
             sender.submit([C])
             running = asyncio.create_task(sender.run())
-            await until(lambda: told and relay.said or len(relay.said) == (3 if name == "short_taken" else 2))
+            await until(
+                lambda: published and relay.said or len(relay.said) == (3 if name == "partly_accepted" else 2)
+            )
             running.cancel()
             return relay.said
 
-    said = asyncio.run(play())
-    matches(f"lane_{name}", [*said[:3], *map(shown, told)])
+    said = asyncio.run(scenario())
+    matches(f"order_sender_{name}", [*said[:3], *map(shown, published)])
 
 
-def test_a_refused_connection_is_surely_not_sent():
-    told = []
+def test_orders_are_lost_without_doubt_if_the_connection_is_refused():
+    published = []
 
-    async def play():
+    async def scenario():
         async with StandIn() as relay:
             pass
-        sender = OrderSender(relay.address, ["read"], MarkTranslator(0), told.append)
+        sender = OrderSender(relay.address, ["read"], MarkTranslator(0), published.append)
         sender.submit([A])
         running = asyncio.create_task(sender.run())
-        await until(lambda: told)
+        await until(lambda: published)
         running.cancel()
 
-    asyncio.run(play())
-    assert told == [gp.OrdersLost((A,), False)]
+    asyncio.run(scenario())
+    assert published == [gp.OrdersLost((A,), False)]
 
 
 def rows(generation, reset, **states):
@@ -126,98 +130,103 @@
     )
 
 
-def follow(script, must_ask=False, count=2, asks=1):
-    """What a discovery with this script is asked, and what it makes the brain hear."""
-    told, places = [], task_list_watch.TaskAddresses()
+def follow_task_list(script, must_ask=False, count=2, asks=1):
+    """The requests to a discovery agent with this script, the events published, and the tasks' addresses."""
+    published, addresses = [], task_list_watch.TaskAddresses()
 
-    async def play():
+    async def scenario():
         async with StandIn(*script) as agent:
-            watch = task_list_watch.TaskListWatch(agent.address, places, told.append, must_ask)
+            watch = task_list_watch.TaskListWatch(agent.address, addresses, published.append, must_ask)
             running = asyncio.create_task(watch.run())
             for n in range(asks):
-                watch.ask()
-                await until(lambda n=n: len(told) > n)
-            await until(lambda: len(told) >= count and len(agent.said) >= len(script))
+                watch.subscribe()
+                await until(lambda n=n: len(published) > n)
+            await until(lambda: len(published) >= count and len(agent.said) >= len(script))
             running.cancel()
             return agent.said
 
-    said = asyncio.run(play())
-    return [*said[: len(script) + 1], *map(shown, told), f"addresses {places.by_task}"]
+    said = asyncio.run(scenario())
+    return [*said[: len(script) + 1], *map(shown, published), f"addresses {addresses.by_task}"]
 
 
-def test_the_list_and_then_what_changes():
+def test_the_full_list_is_followed_by_its_changes():
     full = rows(4, True, a="active", b="active")
     change = rows(6, False, a="left", c="leaving")
-    matches("discovery", follow([full, rows(5, False), change, rows(7, True, b="active")], count=3))
+    matches("discovery", follow_task_list([full, rows(5, False), change, rows(7, True, b="active")], count=3))
 
 
-@pytest.mark.parametrize("trouble", ["break", http('{"generation":"'), http("", "500 Down"), None])
-def test_a_failed_watch_is_begun_anew_where_it_stood(trouble, monkeypatch):
-    def waits(seconds, step):
-        """A step after whose beginning the next call waits that long."""
+@pytest.mark.parametrize("failure", ["break", http('{"generation":"'), http("", "500 Down"), None])
+def test_a_failed_poll_is_retried(failure, monkeypatch):
+    def with_timeout(seconds, step):
+        """A step that sets the response timeout of the next poll."""
         return lambda: monkeypatch.setattr(task_list_watch, "RESPONSE_TIMEOUT", seconds) or step
 
-    monkeypatch.setattr(task_list_watch, "WATCH_MS", 1)
-    first = waits(PATIENT if trouble else HASTY, rows(4, True, a="active"))
-    trace = follow([first, waits(PATIENT, trouble), rows(5, True, b="active")])
+    monkeypatch.setattr(task_list_watch, "LONG_POLL_MS", 1)
+    first = with_timeout(LONG_TIMEOUT if failure else SHORT_TIMEOUT, rows(4, True, a="active"))
+    trace = follow_task_list([first, with_timeout(LONG_TIMEOUT, failure), rows(5, True, b="active")])
     assert trace[2].startswith("GET /discovery/hosts") and "ListHeard full" in trace[-2] and "b" in trace[-2]
 
 
-def test_where_it_must_be_asked_a_failure_is_told_and_waits_for_the_next_order():
+def test_on_demand_a_failure_is_published_and_ends_the_subscription_until_the_next_watch_order():
     script = ["break", rows(4, False), "break"]
-    matches("discovery_asked", follow(script, must_ask=True, asks=2, count=3))
+    matches("discovery_on_demand", follow_task_list(script, must_ask=True, asks=2, count=3))
 
 
 NEWS = [b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"]
 
 
-def test_news_over_a_gap(monkeypatch):
+def test_event_subscription_over_a_gap(monkeypatch):
     monkeypatch.setattr(event_subscription, "INITIAL_LIST_TIME", -1.0)
-    both = [
+    first_stream = [
         chunk("event: attach\ndata: id=1&site=a&rps=2&new=1\n"),
         chunk("\nevent: attach\nda"),
         chunk("ta: id=2&site=a&rps=3&new=1\n\n:\n\nevent: done\ndata: id=2&seq=7&ms=1\n\n"),
     ]
-    told, marks = [], MarkTranslator(0)
+    published, marks = [], MarkTranslator(0)
     marks.to_wire(7)
 
-    async def play():
-        one = [
+    async def scenario():
+        second_stream = [
             chunk("event: attach\ndata: id=2&site=a&rps=3&new=0\n\n:\n\n"),
             chunk("event: done\ndata: id=2&seq=9\n\n"),
         ]
-        script = ["break", http("", "503 Away"), [*NEWS, *both, b"0\r\n\r\n"], [*NEWS, *one]]
+        script = [
+            "break",
+            http("", "503 Away"),
+            [*NEWS, *first_stream, b"0\r\n\r\n"],
+            [*NEWS, *second_stream],
+        ]
         async with StandIn(*script) as relay:
-            running = asyncio.create_task(EventSubscription(relay.address, marks, told.append).run())
-            await until(lambda: len(told) == 6)
+            running = asyncio.create_task(EventSubscription(relay.address, marks, published.append).run())
+            await until(lambda: len(published) == 6)
             running.cancel()
 
-    asyncio.run(play())
-    matches("news_gap", list(map(shown, told)))
+    asyncio.run(scenario())
+    matches("event_stream_gap", list(map(shown, published)))
 
 
-def test_an_event_that_never_ends_ends_the_stream(monkeypatch):
+def test_an_event_above_the_size_limit_is_too_long(monkeypatch):
     monkeypatch.setattr(event_stream, "MAX_EVENT_BYTES", 100)
-    stream = EventStreamParser()
-    assert list(stream.feed(b"data: id=1&site=a\n" * 3)) == [] and not stream.too_long()
-    assert list(stream.feed(b"data: id=1&site=a\n" * 9)) == [] and stream.too_long()
+    parser = EventStreamParser()
+    assert list(parser.feed(b"data: id=1&site=a\n" * 3)) == [] and not parser.too_long()
+    assert list(parser.feed(b"data: id=1&site=a\n" * 9)) == [] and parser.too_long()
 
 
-def test_silent_news_are_opened_anew(monkeypatch):
-    monkeypatch.setattr(event_subscription, "SILENCE_TIMEOUT", HASTY)
+def test_a_silent_event_stream_is_reopened(monkeypatch):
+    monkeypatch.setattr(event_subscription, "SILENCE_TIMEOUT", SHORT_TIMEOUT)
 
-    async def play():
+    async def scenario():
         async with StandIn(NEWS, NEWS) as relay:
             running = asyncio.create_task(EventSubscription(relay.address, MarkTranslator(0), print).run())
             await until(lambda: len(relay.said) >= 2)
             running.cancel()
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-LOAD = http("TEXT inflight=7, queue=2, util=0.61")
-PROBED = {
-    "ok": LOAD,
+LOAD_RESPONSE = http("TEXT inflight=7, queue=2, util=0.61")
+PROBE_RESPONSES = {
+    "ok": LOAD_RESPONSE,
     "error": http("", "503 No"),
     "reset": "break",
     "other": [b"whim\r\n\r\n"],
@@ -225,26 +234,26 @@
 }
 
 
-@pytest.mark.parametrize("outcome", PROBED)
-def test_each_probe_ends_in_one_honest_answer(outcome):
-    step, told, places = PROBED[outcome], [], task_list_watch.TaskAddresses()
-    wait = HASTY if outcome == "timeout" else PATIENT
-
-    async def play():
-        async with StandIn(LOAD, step, step) as task:
-            places.by_task["s-a"] = task.address
-            probing = prober.Prober(places, told.append, True, 8)
-            for count, seconds in ((1, PATIENT), (2, wait)):  # the second goes on the kept connection
-                probing.start(gp.Probe("s-a", int(seconds * 10_000)))
-                await until(lambda count=count: len(told) == count)
-        probing.start(gp.Probe("s-gone", 100))
-        probing.start(gp.Probe("s-a", 600_000))
-        await until(lambda: len(told) == 4)
+@pytest.mark.parametrize("outcome", PROBE_RESPONSES)
+def test_each_probe_publishes_its_outcome_once(outcome):
+    step, published, addresses = PROBE_RESPONSES[outcome], [], task_list_watch.TaskAddresses()
+    timeout = SHORT_TIMEOUT if outcome == "timeout" else LONG_TIMEOUT
+
+    async def scenario():
+        async with StandIn(LOAD_RESPONSE, step, step) as task:
+            addresses.by_task["s-a"] = task.address
+            probes = prober.Prober(addresses, published.append, True, 8)
+            for count, seconds in ((1, LONG_TIMEOUT), (2, timeout)):  # the second reuses the connection
+                probes.start(gp.Probe("s-a", int(seconds * 10_000)))
+                await until(lambda count=count: len(published) == count)
+        probes.start(gp.Probe("s-gone", 100))
+        probes.start(gp.Probe("s-a", 600_000))
+        await until(lambda: len(published) == 4)
         return task.said
 
-    said = asyncio.run(play())
-    assert [e.outcome for e in told] == ["ok", outcome, "unreachable", "unreachable"]
-    assert told[0].load == {"in_hand": 7.0, "queued": 2.0, "busy": 0.61}
+    said = asyncio.run(scenario())
+    assert [event.outcome for event in published] == ["ok", outcome, "unreachable", "unreachable"]
+    assert published[0].load == {"in_hand": 7.0, "queued": 2.0, "busy": 0.61}
     assert set(said) == {"GET /metrics/load HTTP/1.1"}
 
 
@@ -253,75 +262,75 @@
 
 
 class Address:
-    """A listener of ours with `room`, and connections to it."""
+    """A Listener with a capacity of `room`, and connections to it."""
 
-    def __init__(self, hear, room=6):
-        self.ours, self.made = listener.Listener(hear, KNOWN, room), []
+    def __init__(self, publish, room=6):
+        self.ours, self.client_streams = listener.Listener(publish, KNOWN, room), []
 
     async def __aenter__(self):
         self.server = await self.ours.open(("127.0.0.1", 0))
         self.at = self.server.sockets[0].getsockname()[:2]
-        self.sweeping = asyncio.create_task(self.ours.run())
+        self.sweep_task = asyncio.create_task(self.ours.run())
         return self
 
     async def __aexit__(self, *_):
-        self.sweeping.cancel()
+        self.sweep_task.cancel()
         self.server.close()
-        for _, writer in self.made:
+        for _, writer in self.client_streams:
             writer.transport.abort()
 
-    async def join(self, said=b""):
+    async def join(self, data=b""):
         streams = await asyncio.open_connection(*self.at)
-        self.made.append(streams)
-        streams[1].write(said)
+        self.client_streams.append(streams)
+        streams[1].write(data)
         return streams
 
 
 async def ending(reader):
-    """What was said until the connection ended, however it did."""
-    said = b""
+    """What is received until the connection ends, also by a reset."""
+    received = b""
     try:
-        while piece := await reader.read(100):
-            said += piece
+        while chunk := await reader.read(100):
+            received += chunk
     except ConnectionError:
         pass
-    return said
+    return received
 
 
-def test_heartbeats_and_collectors_among_strangers(monkeypatch):
-    for wait in ("JOIN_TIMEOUT", "HEARTBEAT_TIMEOUT", "LINE_TIMEOUT"):
-        monkeypatch.setattr(listener, wait, PATIENT)
-    told = []
+def test_heartbeats_and_collectors_among_unknown_peers(monkeypatch):
+    for timeout in ("JOIN_TIMEOUT", "HEARTBEAT_TIMEOUT", "LINE_TIMEOUT"):
+        monkeypatch.setattr(listener, timeout, LONG_TIMEOUT)
+    published = []
 
-    async def play():
-        async with Address(told.append) as here:
+    async def scenario():
+        async with Address(published.append) as here:
             first, second = await here.join(b"h"), await here.join()
             first[1].write(b"b\r\ntelemetry site=a\r\nwhim\r\nhb\r\n" + STATS[:9])
             assert await first[0].readexactly(14) == b"hb_ok\r\nhb_ok\r\n"
             first[1].write(STATS[9:])
-            await until(lambda: len(told) == 1)
-            # A second claim of the zone displaces nobody before it reports; a longer line is read from then.
+            await until(lambda: len(published) == 1)
+            # A second collector replaces the first only once it reports. It may send long lines before that.
             second[1].write(b"telemetry site=a\r\ndetach id=1\r\n" + b"x" * 50_000)
             first[1].write(STATS)
-            await until(lambda: len(told) == 2 and here.ours.candidates)
+            await until(lambda: len(published) == 2 and here.ours.candidates)
             third = await here.join(b"telemetry site=a\r\n")
-            assert await second[0].read() == b""  # one claim a zone
+            assert await second[0].read() == b""  # only one candidate per zone
             third[1].write(STATS)
-            await until(lambda: len(told) == 3)
-            assert await first[0].read() == b""  # the collector that came again takes its place
+            await until(lambda: len(published) == 3)
+            assert await first[0].read() == b""  # a collector that reconnects replaces its old connection
             for _ in range(20):
                 await here.join()
             last = await here.join(b"hb\r\n")
             assert await last[0].readexactly(7) == b"hb_ok\r\n"
             third[1].write(STATS)
-            await until(lambda: len(told) == 4)
+            await until(lambda: len(published) == 4)
             assert len(here.ours.peers) == 6
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 @pytest.mark.parametrize(
-    "said",
+    "data",
     [
         b"GET / HTTP/1.1\r\nHost: a\r\n\r\n",
         b"\x00\xff\x17\r\n",
@@ -336,21 +345,21 @@
         b"telemetry\r\n",
     ],
 )
-def test_who_has_no_business_here_is_told_so_at_once(said, monkeypatch):
-    for wait in ("JOIN_TIMEOUT", "HEARTBEAT_TIMEOUT"):
-        monkeypatch.setattr(listener, wait, PATIENT)
-    told = []
+def test_a_peer_with_an_unexpected_message_is_rejected_at_once(data, monkeypatch):
+    for timeout in ("JOIN_TIMEOUT", "HEARTBEAT_TIMEOUT"):
+        monkeypatch.setattr(listener, timeout, LONG_TIMEOUT)
+    published = []
 
-    async def play():
-        async with Address(told.append) as here:
-            return await ending((await here.join(said))[0])
+    async def scenario():
+        async with Address(published.append) as here:
+            return await ending((await here.join(data))[0])
 
-    answer = asyncio.run(play())
-    assert answer in (b"reject\r\n", b"hb_ok\r\nreject\r\n", b"") and not told
+    response = asyncio.run(scenario())
+    assert response in (b"reject\r\n", b"hb_ok\r\nreject\r\n", b"") and not published
 
 
 @pytest.mark.parametrize(
-    ("wait", "said"),
+    ("timeout", "data"),
     [
         ("JOIN_TIMEOUT", b""),
         ("JOIN_TIMEOUT", b"telemetry sit"),
@@ -358,85 +367,85 @@
         ("LINE_TIMEOUT", b"telemetry site=a\r\n" + STATS + STATS[:9]),
     ],
 )
-def test_who_stays_silent_or_within_a_message_is_closed(wait, said, monkeypatch):
+def test_a_peer_that_is_silent_or_stuck_within_a_message_is_closed(timeout, data, monkeypatch):
     for each in ("JOIN_TIMEOUT", "HEARTBEAT_TIMEOUT", "LINE_TIMEOUT"):
-        monkeypatch.setattr(listener, each, HASTY if each == wait else PATIENT)
-    monkeypatch.setattr(listener, "SWEEP_PERIOD", HASTY)
+        monkeypatch.setattr(listener, each, SHORT_TIMEOUT if each == timeout else LONG_TIMEOUT)
+    monkeypatch.setattr(listener, "SWEEP_PERIOD", SHORT_TIMEOUT)
 
-    async def play():
+    async def scenario():
         async with Address([].append) as here:
-            return await ending((await here.join(said))[0])
+            return await ending((await here.join(data))[0])
 
-    answers = {"HEARTBEAT_TIMEOUT": b"hb_ok\r\nreject\r\n", "LINE_TIMEOUT": b""}
-    assert asyncio.run(play()) == answers.get(wait, b"reject\r\n")
+    responses = {"HEARTBEAT_TIMEOUT": b"hb_ok\r\nreject\r\n", "LINE_TIMEOUT": b""}
+    assert asyncio.run(scenario()) == responses.get(timeout, b"reject\r\n")
 
 
-def test_a_collector_gone_astray_is_closed_and_one_spoilt_line_is_passed_over():
-    told, some = [], STATS.replace(b"fail=0", b"fail=3") * 9 + b"\xfe\xff \r\nwhim\r\n" + STATS
+def test_a_collector_is_closed_for_a_corrupt_stream_but_not_for_single_invalid_lines():
+    published, lines = [], STATS.replace(b"fail=0", b"fail=3") * 9 + b"\xfe\xff \r\nwhim\r\n" + STATS
 
-    async def play():
-        async with Address(told.append) as here:
-            reader, writer = await here.join(b"telemetry site=a\r\n" + some * 2)
-            await until(lambda: len(told) == 2)
+    async def scenario():
+        async with Address(published.append) as here:
+            reader, writer = await here.join(b"telemetry site=a\r\n" + lines * 2)
+            await until(lambda: len(published) == 2)
             writer.write(b"\x17\x03\r\n" * 3 + STATS)
             assert await ending(reader) == b""
 
-    asyncio.run(play())
-    assert len(told) == 2
+    asyncio.run(scenario())
+    assert len(published) == 2
 
 
-CROWD = """
+LISTENER_PROGRAM = """
 import asyncio, os, resource, sys
 resource.setrlimit(resource.RLIMIT_NOFILE, (48, 4096))
 from garnetpaddle.net import listener, message_codec
 async def main():
-    ours = listener.Listener(print, message_codec.KnownNames({}), 24)
-    server = await ours.open(("127.0.0.1", 0))
+    tested = listener.Listener(print, message_codec.KnownNames({}), 24)
+    server = await tested.open(("127.0.0.1", 0))
     asyncio.get_running_loop().set_exception_handler(lambda *_: os._exit(1))
     print(server.sockets[0].getsockname()[1], flush=True)
     await asyncio.to_thread(sys.stdin.read)
-    print(len(ours.peers) <= 24)
+    print(len(tested.peers) <= 24)
 asyncio.run(main())
 """
 
 
-def test_a_crowd_at_one_moment_takes_not_the_last_descriptor():
-    """48 descriptors, a room of 24, and 200 who connect at once."""
-    made = subprocess.Popen(
-        [sys.executable, "-c", CROWD], stdin=subprocess.PIPE, stdout=subprocess.PIPE, text=True
+def test_a_burst_of_connections_does_not_exhaust_the_descriptors():
+    """48 descriptors, a capacity of 24, and 200 peers that connect at once."""
+    process = subprocess.Popen(
+        [sys.executable, "-c", LISTENER_PROGRAM], stdin=subprocess.PIPE, stdout=subprocess.PIPE, text=True
     )
-    at = "127.0.0.1", int(made.stdout.readline())
-    made.send_signal(signal.SIGSTOP)  # they all wait when it looks
-    crowd = [socket.create_connection(at) for _ in range(200)]
-    made.send_signal(signal.SIGCONT)
-    crowd[-1].sendall(b"hb\r\n")
-    assert crowd[-1].recv(7) == b"hb_ok\r\n"
-    for each in crowd:
-        each.close()
-    assert made.communicate("")[0].endswith("True\n") and made.returncode == 0
-
-
-def test_a_fault_in_one_connection_ends_that_connection_only():
-    heard = []
-
-    def hear(event):
-        heard.append(event)
-        if len(heard) == 1:
-            raise KeyError("lost its head")
-
-    async def play():
-        async with Address(hear) as here:
+    at = "127.0.0.1", int(process.stdout.readline())
+    process.send_signal(signal.SIGSTOP)  # all connections are pending when it continues
+    clients = [socket.create_connection(at) for _ in range(200)]
+    process.send_signal(signal.SIGCONT)
+    clients[-1].sendall(b"hb\r\n")
+    assert clients[-1].recv(7) == b"hb_ok\r\n"
+    for client_socket in clients:
+        client_socket.close()
+    assert process.communicate("")[0].endswith("True\n") and process.returncode == 0
+
+
+def test_an_exception_closes_only_its_own_connection():
+    published = []
+
+    def publish(event):
+        published.append(event)
+        if len(published) == 1:
+            raise KeyError("publish failure")
+
+    async def scenario():
+        async with Address(publish) as here:
             reader, _ = await here.join(b"telemetry site=a\r\n" + STATS)
             assert await ending(reader) == b""
             await here.join(b"telemetry site=b\r\n" + STATS)
-            await until(lambda: len(heard) == 2)
+            await until(lambda: len(published) == 2)
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 @dataclasses.dataclass
-class Heard:
-    """A brain that keeps its batches and orders what it is told to."""
+class RecordingBrain:
+    """A brain that records its batches and returns the given orders."""
 
     orders: list
     batches: list = dataclasses.field(default_factory=list)
@@ -446,67 +455,71 @@
         return self.orders.pop(0) if self.orders else []
 
 
-def test_the_owner_gives_batches_and_timers_in_their_time():
-    now, out = [100], []
-    brain = Heard([[gp.Timer(100, "now"), A, gp.Probe("s-a", 5), B], [gp.Watch(), gp.Timer(250, "late")]])
+def test_decision_loop_batches_events_and_fires_timers():
+    now, dispatched = [100], []
+    brain = RecordingBrain(
+        [[gp.Timer(100, "now"), A, gp.Probe("s-a", 5), B], [gp.Watch(), gp.Timer(250, "late")]]
+    )
 
     class Handlers:
-        table, probe = out.append, out.append
+        submit, probe = dispatched.append, dispatched.append
 
         @staticmethod
         def watch():
-            out.append("watch")
+            dispatched.append("watch")
 
     decision_loop = DecisionLoop(brain, lambda: now[0], Handlers)
     decision_loop.publish(gp.ProxyLeft(1))
     decision_loop.publish(gp.ProxyLeft(2))
     for now[0] in (100, 101, 249, 300):
         decision_loop.run_batch()
-    assert out == [gp.Probe("s-a", 5), [A, B], "watch"]
-    matches("owner", brain.batches)
+    assert dispatched == [gp.Probe("s-a", 5), [A, B], "watch"]
+    matches("decision_loop", brain.batches)
 
 
-def test_a_process_that_stood_still_does_not_take_that_for_silence():
-    async def play():
-        ours, theirs = socket.socketpair()
-        reader, writer = await asyncio.open_connection(sock=ours)
+def test_a_pause_of_the_process_itself_is_not_a_timeout_of_the_peer():
+    async def scenario():
+        local, remote = socket.socketpair()
+        reader, writer = await asyncio.open_connection(sock=local)
 
-        def stall():  # when the loop goes on, the time is over and the bytes lie there
-            theirs.send(b"answer")
-            time.sleep(5 * HASTY)
+        def stall():  # the timeout has expired when the loop continues, but the bytes have arrived
+            remote.send(b"answer")
+            time.sleep(5 * SHORT_TIMEOUT)
 
         asyncio.get_running_loop().call_soon(stall)
         try:
-            return await client.with_timeout(HASTY, reader.readexactly(6))
+            return await client.with_timeout(SHORT_TIMEOUT, reader.readexactly(6))
         finally:
             writer.close()
-            theirs.close()
+            remote.close()
 
-    assert asyncio.run(play()) == b"answer"
+    assert asyncio.run(scenario()) == b"answer"
 
 
-BROKEN = """
+FAILING_BRAIN_PROGRAM = """
 import sys
 from garnetpaddle.net import configuration, serve
 class Brain:
     def __init__(self, terms, seed): pass
-    def handle(self, now, events): raise KeyError("lost its head")
+    def handle(self, now, events): raise KeyError("brain failure")
 serve.Brain = Brain
 sys.exit(serve.main(configuration.read(sys.argv[1], {}), sys.argv[1]))
 """
 
 
-def test_a_fault_in_the_brain_ends_the_program_loudly(tmp_path):
-    ended = subprocess.run([sys.executable, "-c", BROKEN, written(tmp_path)], capture_output=True, text=True)
+def test_an_exception_in_the_brain_ends_the_process_with_an_error(tmp_path):
+    ended = subprocess.run(
+        [sys.executable, "-c", FAILING_BRAIN_PROGRAM, written(tmp_path)], capture_output=True, text=True
+    )
     assert ended.returncode == 1
-    assert "event=brain_failed" in ended.stdout and "lost its head" in ended.stdout
+    assert "event=brain_failed" in ended.stdout and "brain failure" in ended.stdout
 
 
-def test_a_term_signal_ends_the_program_at_once(tmp_path):
+def test_sigterm_ends_the_process(tmp_path):
     path = written(tmp_path)
 
-    async def play():
-        made = await asyncio.create_subprocess_exec(
+    async def scenario():
+        process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
             "garnetpaddle",
@@ -514,21 +527,21 @@
             env=os.environ | {"ROUTER_CONFIG": path},
             stdout=asyncio.subprocess.PIPE,
         )
-        while b"event=serving" not in await made.stdout.readline():
+        while b"event=serving" not in await process.stdout.readline():
             pass
-        made.send_signal(signal.SIGTERM)
-        return await made.wait()
+        process.send_signal(signal.SIGTERM)
+        return await process.wait()
 
-    assert asyncio.run(play()) == 0
+    assert asyncio.run(scenario()) == 0
 
 
 def relay_of(*proxies):
-    """A relay that takes every call and names these proxies as joined."""
-    named = [chunk(f"event: attach\ndata: id={p}&site=a&rps=2&new=1\n\n") for p in proxies]
-    life = itertools.cycle([0.1, chunk(":\n\n")])
+    """A relay that accepts every request and lists these proxies as joined."""
+    joined = [chunk(f"event: attach\ndata: id={p}&site=a&rps=2&new=1\n\n") for p in proxies]
+    keep_alives = itertools.cycle([0.1, chunk(":\n\n")])
     return StandIn(
         always=lambda said: (
-            itertools.chain(NEWS, named, life) if "events" in said else taken(said.count(";") + 1)
+            itertools.chain(NEWS, joined, keep_alives) if "events" in said else taken(said.count(";") + 1)
         )
     )
 
@@ -537,8 +550,8 @@
     return StandIn(rows(generation, True, a="active"), always=lambda said: [0.1, *rows(generation, False)])
 
 
-def test_a_reload_moves_to_where_the_file_says_and_nothing_is_told_twice(tmp_path):
-    async def play():
+def test_a_reload_moves_to_the_new_addresses_without_repeated_events(tmp_path):
+    async def scenario():
         async with (
             agent_of(42) as agent,
             agent_of(43) as agent_2,
@@ -546,12 +559,14 @@
             relay_of(4, 5) as relay_2,
         ):
 
-            def write(agent, relay, *more):
-                at = [f"{host}:{port}" for host, port in (agent.address, relay.address)]
-                return written(tmp_path, ("discovery", at[0]), ("store/address", at[1]), *more), at[0]
+            def write(agent, relay, *changes):
+                addresses = [f"{host}:{port}" for host, port in (agent.address, relay.address)]
+                return written(
+                    tmp_path, ("discovery", addresses[0]), ("store/address", addresses[1]), *changes
+                ), addresses[0]
 
             path, variable = write(agent, relay)
-            made = await asyncio.create_subprocess_exec(
+            process = await asyncio.create_subprocess_exec(
                 sys.executable,
                 "-m",
                 "garnetpaddle",
@@ -560,55 +575,59 @@
                 stdout=asyncio.subprocess.PIPE,
                 env=os.environ | {"ROUTER_CONFIG": path, "ROUTER_DISCOVERY": variable},
             )
-            out = []
+            output = []
 
-            async def logged(word):
-                while not out or word not in out[-1]:
-                    out.append((await made.stdout.readline()).decode())
-                    assert out[-1], f"it ended before {word}"
+            async def logged(expected):
+                while not output or expected not in output[-1]:
+                    output.append((await process.stdout.readline()).decode())
+                    assert output[-1], f"the process ended before it printed {expected}"
 
             await logged("ProxyJoined(proxy=4")
             await until(lambda: len(agent.said) > 1)
-            for text, said in (("{", "reload_refused"), ("{}", "missing required"), (None, "moved=nothing")):
+            for text, expected in (
+                ("{", "reload_refused"),
+                ("{}", "missing required"),
+                (None, "moved=nothing"),
+            ):
                 (tmp_path / "given.json").write_text(text) if text else write(agent, relay)
-                made.send_signal(signal.SIGHUP)
-                await logged(said)
+                process.send_signal(signal.SIGHUP)
+                await logged(expected)
             write(agent_2, relay_2, ("listen", "127.0.0.1:1"))
             for _ in range(3):
-                made.send_signal(signal.SIGHUP)
+                process.send_signal(signal.SIGHUP)
             await logged("fields=listen")
             await logged("ProxyJoined(proxy=5")
             await until(lambda: len(agent_2.said) > 1)
             for writer in (*agent.writers, *relay.writers):
                 writer.transport.abort()
             await logged("ProbeAnswered")
-            made.send_signal(signal.SIGHUP)
-            made.send_signal(signal.SIGTERM)
+            process.send_signal(signal.SIGHUP)
+            process.send_signal(signal.SIGTERM)
             await logged("event=stopped")
             assert agent_2.said[0] == "GET /discovery/hosts HTTP/1.1"
-            assert sum("ProxyJoined" in line for line in out) == 2
-            assert not any(word in line for line in out for word in ("InDoubt", "ProxyLeft", "lost"))
-            return await made.wait()
+            assert sum("ProxyJoined" in line for line in output) == 2
+            assert not any(word in line for line in output for word in ("InDoubt", "ProxyLeft", "lost"))
+            return await process.wait()
 
-    assert asyncio.run(play()) == 0
+    assert asyncio.run(scenario()) == 0
 
 
-def test_calls_go_to_the_new_address_in_their_sequence_and_once():
-    told = []
+def test_requests_move_to_the_new_address_in_sequence_and_once():
+    published = []
 
-    async def play():
-        async with StandIn(taken(1)) as former, StandIn(taken(1)) as latter:
-            sender = OrderSender(former.address, ["read"], MarkTranslator(0), told.append)
+    async def scenario():
+        async with StandIn(taken(1)) as old, StandIn(taken(1)) as new:
+            sender = OrderSender(old.address, ["read"], MarkTranslator(0), published.append)
             running = asyncio.create_task(sender.run())
             sender.submit([A])
-            await until(lambda: former.said)
-            sender.move(latter.address)
+            await until(lambda: old.said)
+            sender.move(new.address)
             await until(lambda: sender.next_link)
             sender.submit([B])
-            await until(lambda: latter.said)
+            await until(lambda: new.said)
             running.cancel()
-            return [*former.said, "--", *latter.said]
+            return [*old.said, "--", *new.said]
 
-    said = [line.rpartition("changes=")[2] for line in asyncio.run(play())]
+    said = [line.rpartition("changes=")[2] for line in asyncio.run(scenario())]
     assert said == ["put,1,s-a,1.0", "--", "put,1,s-b,1.0"]
-    assert told == []
+    assert published == []
--- a/tests/test_wirehost.py
+++ b/tests/test_wirehost.py
@@ -22,9 +22,9 @@
 
 def serve(*messages):
     written = []
-    lines = [m if isinstance(m, bytes) else json.dumps(m).encode() for m in messages]
+    lines = [each if isinstance(each, bytes) else json.dumps(each).encode() for each in messages]
     code = host.serve(lines, written.append, lambda: None)
-    return code, [json.loads(w) for w in written]
+    return code, [json.loads(line) for line in written]
 
 
 def test_a_batch_becomes_orders():
@@ -32,11 +32,11 @@
     assert code == 0
     assert {"msg": "BIND", "i": "x/0", "forwarder": 3, "sheet": 1, "lanes": 0} in replies
     assert {"msg": "SET_LINE", "i": "x/0", "task": "a", "size": 1.0, "sheet": 1} in replies
-    assert [r["msg"] for r in replies[-2:]] == ["ACK", "ACK"]
+    assert [reply["msg"] for reply in replies[-2:]] == ["ACK", "ACK"]
 
 
 @pytest.mark.parametrize(
-    ("bad", "named"),
+    ("invalid", "expected"),
     [
         (b'{"msg":"CONNECTED","i":"x/0","forw', "line 5: "),
         (JOIN | {"forwarder": "three"}, "forwarder"),
@@ -47,21 +47,21 @@
         (BOOT | {"conf": CONF | {"specifics": CONF["specifics"] | {"ranges": 9}}}, "specifics.ranges"),
     ],
 )
-def test_malformed_input_names_line_and_field(bad, named, capsys):
-    code, _ = serve(MARK, BOOT, ROWS, LIST, bad, FLUSH)
-    said = capsys.readouterr().err
-    assert code == 2 and "line 5" in said and named in said
+def test_malformed_input_names_line_and_field(invalid, expected, capsys):
+    code, _ = serve(MARK, BOOT, ROWS, LIST, invalid, FLUSH)
+    errors = capsys.readouterr().err
+    assert code == 2 and "line 5" in errors and expected in errors
 
 
-def test_an_exception_in_a_brain_becomes_a_bug(monkeypatch):
+def test_an_exception_in_the_brain_is_reported_as_bug(monkeypatch):
     def fail(*_):
-        raise KeyError("lost its head")
+        raise KeyError("brain failure")
 
     monkeypatch.setattr(host.Brain, "handle", fail)
     _, replies = serve(MARK, BOOT, FLUSH)
-    assert replies[0]["msg"] == "BUG" and "lost its head" in replies[0]["text"]
+    assert replies[0]["msg"] == "BUG" and "brain failure" in replies[0]["text"]
 
 
-def test_events_for_a_killed_instance_are_passed_over():
+def test_events_for_a_stopped_instance_are_ignored():
     code, replies = serve(MARK, BOOT, {"msg": "POWER_OFF", "i": "x/0"}, JOIN, FLUSH)
     assert (code, replies) == (0, [{"msg": "ACK"}])
