--- a/garnetpaddle/__main__.py
+++ b/garnetpaddle/__main__.py
@@ -19,7 +19,7 @@
     operator: str | None = None  # path of the operator's configuration file
 
 
-def parse_serve(arguments):
+def parse_serve_options(arguments):
     """The options of `serve`, or None if click has to parse them (help, errors).
 
     click takes 4 MB and a fifth of the start-up time, and the platform runs no other command than `serve`.
@@ -43,7 +43,7 @@
     arguments = sys.argv[1:] if arguments is None else list(arguments)
     if arguments[:1] == ["serve"]:
         startup_signals.install()
-        options = parse_serve(arguments[1:])
+        options = parse_serve_options(arguments[1:])
         if options is not None:
             from garnetpaddle.commands.serve import serve
 
--- a/garnetpaddle/boot/settings.py
+++ b/garnetpaddle/boot/settings.py
@@ -1,4 +1,4 @@
-"""The settings object that an assigner receives at its start, with the field names of the JSON file.
+"""The settings object that an assigner receives at its start, with the field names of its JSON form.
 
 terms() derives the Brain's parameters from it. Unknown keys are ignored."""
 
@@ -14,7 +14,7 @@
     promise: float  # s: the latency objective
     name: str
     gain: float = 1.0
-    effect: str = ""  # whether a call may be repeated; read only by the front ends
+    effect: str = ""  # whether a call may be repeated; used only by the advice front ends
 
 
 class Ceilings(msgspec.Struct):
--- a/garnetpaddle/net/http.py
+++ b/garnetpaddle/net/http.py
@@ -38,7 +38,7 @@
     body: bytearray
 
 
-TIMED_OUT, CLOSED, MALFORMED = "no response in time", "connection closed", "malformed response"
+TIMED_OUT, CLOSED, MALFORMED = "timed out", "connection closed", "malformed response"
 
 
 def failure_reason(error, peer_closed=False):
--- a/garnetpaddle/net/listener.py
+++ b/garnetpaddle/net/listener.py
@@ -33,7 +33,7 @@
     """One connection. zone: the zone whose collector it has registered as, None for an unknown peer."""
 
     def __init__(self, writer, now):
-        self.writer, self.zone, self.deadline, self.last_heard = writer, None, now + JOIN_TIMEOUT, now
+        self.writer, self.zone, self.deadline, self.last_received_at = writer, None, now + JOIN_TIMEOUT, now
         self.lines, self.line_started_at = LineSplitter(PROTOCOL_LINE_END, MAX_UNKNOWN_PEER_LINE), None
         self.consecutive_unknown = 0
 
@@ -45,7 +45,7 @@
 
 
 class Listener:
-    """Accepts at most `capacity` connections and reads them without waiting for the Brain.
+    """Keeps at most `capacity` connections and reads them without waiting for the Brain.
 
     publish: receives the collectors' sums; known: message_codec.KnownNames."""
 
@@ -134,7 +134,7 @@
         """Reads lines until the connection ends or must be closed. Only unknown peers are sent REJECT."""
         lines = peer.lines
         while chunk := await reader.read(READ_SIZE):
-            peer.last_heard = clock()
+            peer.last_received_at = clock()
             for line in lines.split(chunk):
                 why = self.handle_line(peer, line)
                 if why:
@@ -143,7 +143,7 @@
                 lines.limit = MAX_UNKNOWN_PEER_LINE if peer.zone is None else MAX_COLLECTOR_LINE
                 peer.line_started_at = None
             if lines.rest and peer.line_started_at is None:
-                peer.line_started_at = peer.last_heard
+                peer.line_started_at = peer.last_received_at
             unread = peer.writer.transport.get_write_buffer_size() > MAX_UNREAD
             if lines.too_long or unread:
                 log.warning("peer_rejected", why="too many unread responses" if unread else "line too long")
@@ -156,7 +156,7 @@
         match message_codec.parse_line(line, self.known):
             case message_codec.Heartbeat():
                 peer.writer.write(HEARTBEAT_RESPONSE)
-                peer.deadline, peer.consecutive_unknown = peer.last_heard + HEARTBEAT_TIMEOUT, 0
+                peer.deadline, peer.consecutive_unknown = peer.last_received_at + HEARTBEAT_TIMEOUT, 0
             case message_codec.CollectorHello(zone) if peer.zone in (None, zone):
                 peer.consecutive_unknown = 0
                 self.register_collector(peer, zone)
@@ -205,6 +205,6 @@
         """Above the capacity, closes the unknown peer that has been silent longest; never a collector."""
         if len(self.peers) > self.capacity:
             others = [k for k, peer in self.peers.items() if peer.zone is None and k != number]
-            longest_silent = min(others, key=lambda k: (self.peers[k].last_heard, k), default=number)
+            longest_silent = min(others, key=lambda k: (self.peers[k].last_received_at, k), default=number)
             self.peers.pop(longest_silent).close(REJECT)
             log.warning("stranger_dropped", connections=self.capacity)
--- a/garnetpaddle/net/message_codec.py
+++ b/garnetpaddle/net/message_codec.py
@@ -173,9 +173,9 @@
     return value
 
 
-def parse_milliseconds(milliseconds):
+def parse_milliseconds(text):
     """Milliseconds as an integer in tenths of a ms."""
-    return round(parse_number(milliseconds) * 10)
+    return round(parse_number(text) * 10)
 
 
 def parse_load(text, strict=False):
--- a/garnetpaddle/net/prober.py
+++ b/garnetpaddle/net/prober.py
@@ -41,10 +41,7 @@
     def __init__(self, addresses, publish, reports, capacity):
         self.addresses, self.publish, self.capacity = addresses, publish, capacity
         self.path = LOAD_PATH if reports else ALIVE_PATH
-        self.connections, self.running = (
-            {},
-            set(),
-        )  # Target -> idle connection; asyncio tasks of running probes
+        self.connections, self.running = {}, set()  # Target -> idle connection; asyncio tasks of probes
 
     def start(self, order):
         """Starts a probe in the background."""
@@ -72,7 +69,7 @@
             self.publish(gp.ProbeAnswered(order.task, elapsed, result.outcome, result.load))
 
     async def probe_target(self, target, timeout):
-        """Probes a target. A reused connection that breaks proves nothing: the probe is sent on a new one."""
+        """Probes a target. A broken reused connection is no sign of a failed task: retries on a new one."""
         self.close_unused()
         connection, deadline = self.connections.pop(target, None), time.monotonic() + timeout
         if connection:
--- a/garnetpaddle/net/proxy_membership.py
+++ b/garnetpaddle/net/proxy_membership.py
@@ -7,11 +7,7 @@
     """What one event stream has reported since it opened."""
 
     def __init__(self, address=None):
-        self.address, self.complete, self.joined = (
-            address,
-            False,
-            {},
-        )  # complete: it has listed all proxies
+        self.address, self.complete, self.joined = address, False, {}  # complete: all proxies are listed
         self.overlapping = False  # it opened while another stream was current
         self.alive = True  # a byte has arrived since another stream opened, so no event was lost before that
         self.start_tracking()
--- a/garnetpaddle/net/reload.py
+++ b/garnetpaddle/net/reload.py
@@ -6,12 +6,7 @@
 
 from garnetpaddle.net import configuration
 
-FIXED_FIELDS = (
-    "name",
-    "listen",
-    "limits",
-    "settings",
-)  # read at the start only, as are `seed` and `known`
+FIXED_FIELDS = ("name", "listen", "limits", "settings")  # read at the start only, as are `seed` and `known`
 log = structlog.get_logger()
 
 
--- a/garnetpaddle/net/startup_signals.py
+++ b/garnetpaddle/net/startup_signals.py
@@ -19,7 +19,7 @@
 
 
 def exit_at_once(*_):
-    """Ends the process with exit code 0. An exception could surface in any import, as a traceback."""
+    """Ends the process with exit code 0. An exception would surface in whatever import is running."""
     os._exit(0)
 
 
--- a/garnetpaddle/wirehost/host.py
+++ b/garnetpaddle/wirehost/host.py
@@ -20,21 +20,21 @@
 
 def process_batch(now, pending, instances, write):
     """Passes each instance its events and writes the orders back."""
-    for i, events in pending.items():
+    for instance, events in pending.items():
         try:
-            for order in instances[i].brain.handle(now, events):
-                write(wire.encode(translate.order_message(i, order)) + b"\n")
+            for order in instances[instance].brain.handle(now, events):
+                write(wire.encode(translate.order_message(instance, order)) + b"\n")
         except Exception as error:
             traceback.print_exc(file=sys.stderr)
             text = f"{type(error).__name__}: {error}"
-            write(wire.encode({"msg": "BUG", "i": i, "text": text}) + b"\n")
+            write(wire.encode({"msg": "BUG", "i": instance, "text": text}) + b"\n")
     write(b'{"msg":"ACK"}\n')
 
 
 def serve(lines, write, flush):
     """Reads batches until the input ends; returns the exit code."""
     instances, task_lists, pending, now = {}, {}, {}, None
-    for number, line in enumerate(lines, 1):
+    for line_number, line in enumerate(lines, 1):
         try:
             if not line.strip():
                 continue
@@ -64,7 +64,7 @@
                     if event is not None:
                         pending[message.i].append(event)
         except (msgspec.DecodeError, ValueError) as error:
-            print(f"wirehost: line {number}: {error}", file=sys.stderr)
+            print(f"wirehost: line {line_number}: {error}", file=sys.stderr)
             return 2
     if now is not None:
         print("wirehost: input ended within a batch: field msg: FLUSH is missing", file=sys.stderr)
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -1,4 +1,4 @@
-"""Peers on loopback: `serve` as a process, a relay that carries orders out, an agent of discovery."""
+"""Peers on loopback: `serve` as a process, a relay that executes orders, a discovery agent."""
 
 import asyncio
 import contextlib
@@ -9,25 +9,25 @@
 
 from helper import StandIn, http
 
-GRACE = 3.0  # s: stop_sending_within where the settings name none
-CAUGHT_UP = 10.0  # s: the bench wants nine of ten restarted assigners ready within it
+GRACE = 3.0  # s: the default of stop_sending_within
+CAUGHT_UP = 10.0  # s within which nine of ten restarted assigners have to be ready
 CHUNKED = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-SIGN_EVERY = 0.1  # s between signs of life of a relay's stream
+KEEP_ALIVE_PERIOD = 0.1  # s between keep-alives of a relay's event stream
 
 
 def chunk(text):
-    """A piece of a chunked body."""
+    """A chunk of a body with chunked transfer encoding."""
     body = text.encode()
     return f"{len(body):x}\r\n".encode() + body + b"\r\n"
 
 
 def taken(count):
-    """The relay's answer to a call: so many orders are carried out."""
+    """The relay's response to a request of which `count` orders were executed."""
     return http(f"<Response><entries><item><taken>{count}</taken></item></entries></Response>")
 
 
 def listed(generation, reset, *entries):
-    """The body of a list: entries are (task, lifecycle), in their order."""
+    """The body of a task list; entries are (task, lifecycle)."""
     instances = [
         {"instanceId": f"s-{task}", "hostPort": "127.0.0.1:1", "zone": "a", "lifecycle": state}
         for task, state in entries
@@ -36,136 +36,145 @@
 
 
 async def within(seconds, condition):
-    """Waits until something holds, so many seconds at most."""
+    """Waits until the condition holds; raises TimeoutError after this many seconds."""
     async with asyncio.timeout(seconds):
         while not condition():
             await asyncio.sleep(0.005)
 
 
 class Relay:
-    """Tables, bindings and withdrawals as ordered, at any number of addresses; what each proxy may call.
+    """A relay at any number of addresses: keeps the ordered tables, bindings and withdrawals of its proxies.
 
-    joined: proxy -> whether it holds no table that was ordered.
+    joined: proxy -> whether it is new, that is, holds no table that was ordered.
     """
 
     def __init__(self, *joined):
         self.joined = dict.fromkeys(joined, True)
-        self.tables, self.bound, self.former, self.withdrawn = {}, {}, {}, {}
+        self.tables, self.bound, self.former_tasks, self.withdrawn = {}, {}, {}, {}
         self.orders, self.calls, self.streams, self.asked, self.history = [], 0, [], 0, []
-        self.answers, self.speaks = (
-            asyncio.Event(),
-            asyncio.Event(),
-        )  # calls are answered; streams say something
+        # Cleared: requests get no response; event streams are silent.
+        self.answers, self.speaks = asyncio.Event(), asyncio.Event()
         self.answers.set()
         self.speaks.set()
 
     def listen(self):
-        return StandIn(always=lambda said: self.stream if "/v1/events" in said else self.called(said))
+        return StandIn(
+            always=lambda request: (
+                self.serve_events if "/v1/events" in request else self.make_handler(request)
+            )
+        )
 
-    def called(self, said):
-        async def answer(writer):
+    def make_handler(self, request):
+        async def respond(writer):
             self.calls += 1
             await self.answers.wait()
-            orders = said.rpartition("changes=")[2].split(";")
-            done = self.carry_out(orders)
+            orders = request.rpartition("changes=")[2].split(";")
+            done_events = self.execute(orders)
             writer.write(b"".join(taken(len(orders))))
-            self.tell(*done)
+            self.send_events(*done_events)
 
-        return answer
+        return respond
 
-    async def stream(self, writer):
-        """The news: who is joined, then what happens, and a sign of life from time to time."""
+    async def serve_events(self, writer):
+        """The event stream: the joined proxies, then events and periodic keep-alives."""
         self.asked += 1
         await self.speaks.wait()
         writer.write(CHUNKED)
-        writer.write(b"".join(chunk(self.attached(proxy)) for proxy in self.joined))
+        writer.write(b"".join(chunk(self.attach_event(proxy)) for proxy in self.joined))
         self.streams.append(writer)
         while not writer.is_closing():
             if self.speaks.is_set():
                 writer.write(chunk(":\n\n"))
-            await asyncio.sleep(SIGN_EVERY)
+            await asyncio.sleep(KEEP_ALIVE_PERIOD)
 
-    def tell(self, *events):
+    def send_events(self, *events):
         if self.speaks.is_set():
             for writer in self.streams:
                 writer.write(b"".join(map(chunk, events)))
 
-    def attached(self, proxy):
+    def attach_event(self, proxy):
         return f"event: attach\ndata: id={proxy}&site=a&rps=20&new={int(self.joined[proxy])}\n\n"
 
     def join(self, proxy):
         self.joined[proxy] = True
-        self.tell(self.attached(proxy))
+        self.send_events(self.attach_event(proxy))
 
     def leave(self, proxy):
         del self.joined[proxy]
         self.bound.pop(proxy, None)
         self.withdrawn.pop(proxy, None)
-        self.tell(f"event: detach\ndata: id={proxy}\n\n")
+        self.send_events(f"event: detach\ndata: id={proxy}\n\n")
 
     def restarted(self):
-        """The assigner died: each proxy keeps the lines it had, and joins the next life with them."""
-        self.former = {proxy: self.lines(proxy) for proxy in self.joined}
-        self.joined = {proxy: not lines for proxy, lines in self.former.items()}
+        """The assigner was restarted: each proxy keeps its tasks and joins the new process with them."""
+        self.former_tasks = {proxy: self.tasks_of(proxy) for proxy in self.joined}
+        self.joined = {proxy: not tasks for proxy, tasks in self.former_tasks.items()}
         self.tables, self.bound, self.withdrawn, self.streams = {}, {}, {}, []
 
-    def lines(self, proxy):
-        stand = self.tables.get(self.bound[proxy], {}) if proxy in self.bound else self.former.get(proxy, ())
-        return frozenset(stand) - self.withdrawn.get(proxy, set())
+    def tasks_of(self, proxy):
+        """The tasks that a proxy may call."""
+        tasks = (
+            self.tables.get(self.bound[proxy], {})
+            if proxy in self.bound
+            else self.former_tasks.get(proxy, ())
+        )
+        return frozenset(tasks) - self.withdrawn.get(proxy, set())
 
     def callable(self):
-        """The tasks each proxy may call, as `4:abc 5:abc`."""
+        """The tasks that each proxy may call, as `4:abc 5:abc`."""
         return " ".join(
-            f"{proxy}:{''.join(sorted(task.removeprefix('s-') for task in self.lines(proxy)))}"
+            f"{proxy}:{''.join(sorted(task.removeprefix('s-') for task in self.tasks_of(proxy)))}"
             for proxy in sorted(self.joined)
         )
 
-    def carry_out(self, orders):
-        """Carries a call out; the `done` events that it brings."""
+    def execute(self, orders):
+        """Executes the orders of a request; returns the resulting `done` events."""
         reached, mark = set(), None
         for order in orders:
-            kind, *words = order.split(",")
+            kind, *arguments = order.split(",")
             match kind:
                 case "put":
-                    table = self.tables.setdefault(words[0], {})
-                    table[words[1]] = float(words[2])
-                    if not table[words[1]]:
-                        del table[words[1]]
-                    reached |= {proxy for proxy, number in self.bound.items() if number == words[0]}
+                    table = self.tables.setdefault(arguments[0], {})
+                    table[arguments[1]] = float(arguments[2])
+                    if not table[arguments[1]]:
+                        del table[arguments[1]]
+                    reached |= {
+                        proxy for proxy, table_number in self.bound.items() if table_number == arguments[0]
+                    }
                 case "attach":
-                    self.bound[int(words[0])] = words[1]
-                    reached.add(int(words[0]))
+                    self.bound[int(arguments[0])] = arguments[1]
+                    reached.add(int(arguments[0]))
                 case "eject" | "uneject":
                     for proxy in self.joined:
-                        shut_out = self.withdrawn.setdefault(proxy, set())
-                        shut_out.add(words[0]) if kind == "eject" else shut_out.discard(words[0])
+                        withdrawn = self.withdrawn.setdefault(proxy, set())
+                        withdrawn.add(arguments[0]) if kind == "eject" else withdrawn.discard(arguments[0])
                 case "fence":
-                    mark = words[0]
+                    mark = arguments[0]
         self.orders += orders
         if self.history[-1:] != [self.callable()]:
             self.history.append(self.callable())
         return [f"event: done\ndata: id={proxy}&seq={mark}&ms=1\n\n" for proxy in sorted(reached) if mark]
 
     def ordered(self, text):
-        """How many orders begin so."""
+        """The number of orders that begin with a text."""
         return sum(order.startswith(text) for order in self.orders)
 
 
 class DiscoveryAgent:
-    """An agent of discovery: the whole list, and watches that are answered once something newer is told."""
+    """A discovery agent: sends the full list and answers long polls once there is a newer generation."""
 
     def __init__(self, generation, tasks, whole=False):
-        self.generation, self.whole = generation, whole  # whole: watches are answered by lists, too
+        self.generation, self.whole = generation, whole  # whole: long polls get full lists, too
         self.entries = [(task, "active") for task in tasks]
-        self.changes, self.asked, self.newer = {}, 0, asyncio.Event()
-        self.speaks = asyncio.Event()  # cleared: it takes calls and answers none
+        self.changes, self.asked, self.updated = {}, 0, asyncio.Event()
+        self.speaks = asyncio.Event()  # cleared: accepts requests and sends no response
         self.speaks.set()
 
     def listen(self):
-        return StandIn(always=self.called)
+        return StandIn(always=self.make_handler)
 
     def tell(self, *changes, generation=None):
-        """Another generation: the entries that changed, or where it tells whole lists, all of it."""
+        """Starts another generation with these changed entries, or if `whole`, with this full list."""
         self.generation = generation or self.generation + 1
         if self.whole:
             self.entries = list(changes)
@@ -173,31 +182,31 @@
             self.entries = list((dict(self.entries) | dict(changes)).items())
             self.entries = [entry for entry in self.entries if entry[1] != "left"]
         self.changes[self.generation] = changes
-        self.newer.set()
-        self.newer = asyncio.Event()
+        self.updated.set()
+        self.updated = asyncio.Event()
 
-    def called(self, said):
-        async def answer(writer):
+    def make_handler(self, request):
+        async def respond(writer):
             self.asked += 1
-            watch = re.search(r"since=(\d+)&timeout_ms=(\d+)", said)
-            if watch and int(watch[1]) >= self.generation:
+            poll = re.search(r"since=(\d+)&timeout_ms=(\d+)", request)
+            if poll and int(poll[1]) >= self.generation:
                 with contextlib.suppress(TimeoutError):
-                    async with asyncio.timeout(int(watch[2]) / 1_000):
-                        await self.newer.wait()
+                    async with asyncio.timeout(int(poll[2]) / 1_000):
+                        await self.updated.wait()
             await self.speaks.wait()
-            since = int(watch[1]) if watch else 0
-            if self.whole and self.generation > since or not watch:
+            since = int(poll[1]) if poll else 0
+            if self.whole and self.generation > since or not poll:
                 body = listed(self.generation, True, *self.entries)
             else:
-                told = [entry for at, told in self.changes.items() if at > since for entry in told]
-                body = listed(self.generation, False, *told)
+                changed = [entry for at, entries in self.changes.items() if at > since for entry in entries]
+                body = listed(self.generation, False, *changed)
             writer.write(b"".join(http(body)))
 
-        return answer
+        return respond
 
 
 class Program:
-    """`serve` as a process of its own, its log read line by line."""
+    """`serve` as a separate process whose log is read line by line."""
 
     def __init__(self, path, stdout=asyncio.subprocess.PIPE):
         self.path, self.stdout, self.log = path, stdout, []
@@ -219,23 +228,26 @@
             self.made.kill()
             await self.made.wait()
 
-    async def logged(self, word):
-        while not self.log or word not in self.log[-1]:
+    async def logged(self, text):
+        """Reads the log up to a line that contains the text."""
+        while not self.log or text not in self.log[-1]:
             self.log.append((await self.made.stdout.readline()).decode())
-            assert self.log[-1], f"it ended before {word}: {await self.made.stderr.read()}"
+            assert self.log[-1], f"the process ended before it logged {text}: {await self.made.stderr.read()}"
 
-    async def logged_all(self, *words):
-        """Waits until each word has been in some line, in whatever order."""
-        while not all(any(word in line for line in self.log) for word in words):
+    async def logged_all(self, *texts):
+        """Reads the log until each text has occurred, in any order."""
+        while not all(any(text in line for line in self.log) for text in texts):
             self.log.append((await self.made.stdout.readline()).decode())
-            assert self.log[-1], f"it ended before {words}: {await self.made.stderr.read()}"
+            assert self.log[-1], (
+                f"the process ended before it logged {texts}: {await self.made.stderr.read()}"
+            )
 
     def signal(self, *signals):
         for each in signals:
             self.made.send_signal(each)
 
     async def end(self):
-        """The exit code, with whatever else it wrote to standard error."""
+        """Waits for the exit; returns the exit code and what was written to standard error."""
         return (await self.made.wait(), (await self.made.stderr.read()).decode())
 
 
@@ -243,20 +255,22 @@
 
 
 def at(party):
+    """The address of a StandIn as host:port."""
     return f"{party.address[0]}:{party.address[1]}"
 
 
 def at_socket(sock):
+    """The local address of a socket as host:port."""
     return "{}:{}".format(*sock.getsockname()[:2])
 
 
-def held(*answers):
-    """An agent's script whose answers wait for the word: (step, release)."""
-    gate = asyncio.Event()
+def held(*responses):
+    """A script step that sends its responses only after an event is set: (step, event)."""
+    release = asyncio.Event()
 
     async def step(writer):
-        await gate.wait()
-        for answer in answers:
-            writer.write(b"".join(answer))
+        await release.wait()
+        for response in responses:
+            writer.write(b"".join(response))
 
-    return step, gate
+    return step, release
--- a/tests/signal_tries.py
+++ b/tests/signal_tries.py
@@ -1,7 +1,7 @@
-"""Sends `serve` signals at chosen moments of its start, once in each of many forked children.
+"""Sends signals to `serve` at chosen points of its start, in one forked child per try.
 
-A program of its own: it has one thread, so it may fork, and a try costs milliseconds. It prints one JSON
-object: the exit codes with their counts, and the tries that had not ended within the limit.
+A separate program: it has a single thread, so it can fork, and a try takes milliseconds. It prints a JSON
+object: the number of tries, the exit codes with their counts, and the tries that exceeded the time limit.
 """
 
 import argparse
@@ -25,22 +25,22 @@
 import types
 
 sys.path.insert(0, str(pathlib.Path(__file__).parent.parent))
-OFFSET_MOST = 60_000  # ns from the open of the fifo to the signal; the read begins within it
-FAULT = 99  # exit code of a child that raised
-KEPT, NOT_KEPT = 3, 4  # exit codes: whether a SIGHUP is acted on
-LOOP_TURNS = 10  # more than a signal's byte needs to reach its handler
+MAX_OFFSET_NS = 60_000  # from the open of the fifo to the signal; the read begins within it
+RAISED = 99  # exit code of a child that raised
+RELOAD_REQUESTED, RELOAD_NOT_REQUESTED = 3, 4  # exit codes
+LOOP_ITERATIONS = 10  # more than a signal in the wakeup descriptor needs to reach its handler
 
 
 @dataclasses.dataclass
 class Result:
-    """How a try ended: the exit code, or None if it had not ended within the limit; what the child said."""
+    """The exit code of a try, or None if it exceeded the time limit; and what the child wrote to its pipe."""
 
     code: int | None
-    word: bytes
+    output: bytes
 
 
 def start_serve(serve):
-    """Runs the program's own `__main__` as `garnetpaddle serve`, with this function for the command."""
+    """Runs garnetpaddle's `__main__` as `garnetpaddle serve`, with this function in place of the command."""
     command = types.ModuleType("garnetpaddle.commands.serve")
     command.serve = serve
     sys.modules["garnetpaddle.commands"] = types.ModuleType("garnetpaddle.commands")
@@ -50,22 +50,22 @@
 
 
 def read_with_signals_before(signals):
-    """A blocking read that is entered right after the signals, with no check of the interpreter's between.
+    """A blocking read right after the signals, without a signal check of the interpreter in between.
 
-    The iterators call killpg and read from C, and neither looks for signals unless it is interrupted.
+    The iterators call killpg and read from C code, which checks for signals only when a call is interrupted.
     """
 
     def serve(*_):
-        silent, _write_end = os.pipe()
+        read_end, _write_end = os.pipe()
         sent = map(os.killpg, itertools.repeat(0), signals)
         sizes = map(len, map(list, [sent]))
-        collections.deque(map(os.read, [silent], sizes), maxlen=0)
+        collections.deque(map(os.read, [read_end], sizes), maxlen=0)
 
     return lambda ready: start_serve(serve)
 
 
 def read_fifo(path):
-    """Opens the fifo, which returns once it has a writer, and reads what never comes."""
+    """Opens the fifo, which blocks until it has a writer, and blocks in a read, since nothing is written."""
 
     def serve(*_):
         with open(path, "rb") as file:
@@ -84,23 +84,23 @@
                 raise
 
 
-def signal_after_open(path, pid, seeded):
-    """SIGTERM at an offset from the open that the seed draws; waits in loops, as the read comes within 70 us.
+def signal_after_open(path, pid, rng):
+    """Sends SIGTERM at a random offset from the open; busy-waits, since the read starts within 70 us.
 
-    Returns the writer's end, to be closed once the child has ended.
+    Returns the write end, to be closed once the child has ended.
     """
     writer = open_writer(path)
-    due = time.perf_counter_ns() + seeded.randrange(OFFSET_MOST)
-    while time.perf_counter_ns() < due:
+    deadline = time.perf_counter_ns() + rng.randrange(MAX_OFFSET_NS)
+    while time.perf_counter_ns() < deadline:
         pass
     os.kill(pid, signal.SIGTERM)
     return writer
 
 
 def hand_over_with_a_signal(number, line):
-    """The signal comes at this line of the hand-over to the loop, asyncio's own lines counted.
+    """Sends the signal at the given line of the hand-over to the event loop, counting asyncio's own lines.
 
-    The child says a word if the hand-over has no such line; the signal comes behind the last one then.
+    If the hand-over has fewer lines, the child writes a byte and sends the signal after the last one.
     """
 
     async def run(startup_signals, ready):
@@ -126,9 +126,9 @@
             os.killpg(0, number)
         if number != signal.SIGHUP:
             await asyncio.Event().wait()
-        for _ in range(LOOP_TURNS):
+        for _ in range(LOOP_ITERATIONS):
             await asyncio.sleep(0)
-        return KEPT if reload.requested.is_set() else NOT_KEPT
+        return RELOAD_REQUESTED if reload.requested.is_set() else RELOAD_NOT_REQUESTED
 
     def child(ready):
         start_serve(lambda trace, operator, startup_signals: asyncio.run(run(startup_signals, ready)))
@@ -137,13 +137,13 @@
 
 
 def run_child(child, ready):
-    """Ends the forked child with the program's exit code, whatever happens."""
-    code = FAULT
+    """Runs the child and exits with its exit code, whatever happens."""
+    code = RAISED
     try:
-        os.setsid()  # killpg(0, ...) reaches nobody else
+        os.setsid()  # killpg(0, ...) reaches no other process
         child(ready)
     except SystemExit as end:
-        code = end.code if isinstance(end.code, int) else FAULT
+        code = end.code if isinstance(end.code, int) else RAISED
     except BaseException:
         traceback.print_exc()
     finally:
@@ -151,38 +151,38 @@
         os._exit(code)
 
 
-def try_once(child, limit, act=lambda pid: None):
-    """One try. act: what this program does meanwhile; it may return a descriptor that is to stay open."""
-    ready, ready_of_child = os.pipe()
+def try_once(child, limit, during=lambda pid: None):
+    """Makes a try. during: runs in the parent; may return a descriptor to close when the child has ended."""
+    ready, child_ready = os.pipe()
     pid = os.fork()
     if pid == 0:
         os.close(ready)
-        run_child(child, ready_of_child)
-    os.close(ready_of_child)
-    kept = act(pid)
-    descriptor = os.pidfd_open(pid)
+        run_child(child, child_ready)
+    os.close(child_ready)
+    kept_open = during(pid)
+    pidfd = os.pidfd_open(pid)
     poll = select.poll()
-    poll.register(descriptor, select.POLLIN)
+    poll.register(pidfd, select.POLLIN)
     ended = bool(poll.poll(limit * 1_000))
     if not ended:
         os.kill(pid, signal.SIGKILL)
     code = os.waitstatus_to_exitcode(os.waitpid(pid, 0)[1])
-    word = os.read(ready, 1)
-    for each in filter(None, (descriptor, ready, kept)):
-        os.close(each)
-    return Result(code if ended else None, word)
+    output = os.read(ready, 1)
+    for descriptor in filter(None, (pidfd, ready, kept_open)):
+        os.close(descriptor)
+    return Result(code if ended else None, output)
 
 
 def results(options):
-    """The tries of one kind, each as it ends."""
-    seeded = random.Random(options.seed)
+    """Makes the tries of one kind; yields the Result of each."""
+    rng = random.Random(options.seed)
     signals = [signal.Signals[name] for name in options.signals]
     if options.kind == "hand-over":
-        from garnetpaddle.net import serve  # noqa: F401  # once, before the forks
+        from garnetpaddle.net import serve  # noqa: F401  # imported once, before the forks
 
         for line in itertools.count():
             yield (result := try_once(hand_over_with_a_signal(signals[0], line), options.limit))
-            if result.word:
+            if result.output:
                 return
     if options.kind == "before-read":
         for _ in range(options.count):
@@ -192,19 +192,19 @@
             path = os.path.join(directory, "fifo")
             os.mkfifo(path)
             for _ in range(options.count):
-                act = functools.partial(signal_after_open, path, seeded=seeded)
-                yield try_once(read_fifo(path), options.limit, act)
+                during = functools.partial(signal_after_open, path, rng=rng)
+                yield try_once(read_fifo(path), options.limit, during)
 
 
 def main():
-    """Runs the tries and prints what came of them."""
+    """Makes the tries and prints their results."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("kind", choices=["before-read", "offset", "hand-over"])
     parser.add_argument("signals", nargs="+")
     parser.add_argument("--count", type=int, default=0)
     parser.add_argument("--seed", type=int, default=1)
-    parser.add_argument("--limit", type=float, default=5.0, help="seconds that a try may take")
-    parser.add_argument("--hung-most", type=int, default=3, help="after so many hung tries no more are made")
+    parser.add_argument("--limit", type=float, default=5.0, help="time limit of a try in seconds")
+    parser.add_argument("--max-hung", type=int, default=3, help="stop after this many hung tries")
     options = parser.parse_args()
     codes, hung, tries = collections.Counter(), [], 0
     for result in results(options):
@@ -213,7 +213,7 @@
         else:
             codes[result.code] += 1
         tries += 1
-        if len(hung) >= options.hung_most:
+        if len(hung) >= options.max_hung:
             break
     print(json.dumps({"tries": tries, "codes": codes, "hung": hung}))
 
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -90,8 +90,8 @@
             running.cancel()
             return relay.said
 
-    said = asyncio.run(scenario())
-    matches(f"order_sender_{name}", [*said[:3], *map(shown, published)])
+    requests = asyncio.run(scenario())
+    matches(f"order_sender_{name}", [*requests[:3], *map(shown, published)])
 
 
 def test_orders_are_lost_without_doubt_if_the_connection_is_refused():
@@ -145,8 +145,8 @@
             running.cancel()
             return agent.said
 
-    said = asyncio.run(scenario())
-    return [*said[: len(script) + 1], *map(shown, published), f"addresses {addresses.by_task}"]
+    requests = asyncio.run(scenario())
+    return [*requests[: len(script) + 1], *map(shown, published), f"addresses {addresses.by_task}"]
 
 
 def test_the_full_list_is_followed_by_its_changes():
@@ -251,10 +251,10 @@
         await until(lambda: len(published) == 4)
         return task.said
 
-    said = asyncio.run(scenario())
+    requests = asyncio.run(scenario())
     assert [event.outcome for event in published] == ["ok", outcome, "unreachable", "unreachable"]
     assert published[0].load == {"in_hand": 7.0, "queued": 2.0, "busy": 0.61}
-    assert set(said) == {"GET /metrics/load HTTP/1.1"}
+    assert set(requests) == {"GET /metrics/load HTTP/1.1"}
 
 
 STATS = b"upstream_stats site=a target=s-a count=2 fail=0 mean=5 over=1000\r\n"
@@ -303,8 +303,8 @@
     published = []
 
     async def scenario():
-        async with Address(published.append) as here:
-            first, second = await here.join(b"h"), await here.join()
+        async with Address(published.append) as server:
+            first, second = await server.join(b"h"), await server.join()
             first[1].write(b"b\r\ntelemetry site=a\r\nwhim\r\nhb\r\n" + STATS[:9])
             assert await first[0].readexactly(14) == b"hb_ok\r\nhb_ok\r\n"
             first[1].write(STATS[9:])
@@ -312,19 +312,19 @@
             # A second collector replaces the first only once it reports. It may send long lines before that.
             second[1].write(b"telemetry site=a\r\ndetach id=1\r\n" + b"x" * 50_000)
             first[1].write(STATS)
-            await until(lambda: len(published) == 2 and here.ours.candidates)
-            third = await here.join(b"telemetry site=a\r\n")
+            await until(lambda: len(published) == 2 and server.ours.candidates)
+            third = await server.join(b"telemetry site=a\r\n")
             assert await second[0].read() == b""  # only one candidate per zone
             third[1].write(STATS)
             await until(lambda: len(published) == 3)
             assert await first[0].read() == b""  # a collector that reconnects replaces its old connection
             for _ in range(20):
-                await here.join()
-            last = await here.join(b"hb\r\n")
+                await server.join()
+            last = await server.join(b"hb\r\n")
             assert await last[0].readexactly(7) == b"hb_ok\r\n"
             third[1].write(STATS)
             await until(lambda: len(published) == 4)
-            assert len(here.ours.peers) == 6
+            assert len(server.ours.peers) == 6
 
     asyncio.run(scenario())
 
@@ -351,8 +351,8 @@
     published = []
 
     async def scenario():
-        async with Address(published.append) as here:
-            return await ending((await here.join(data))[0])
+        async with Address(published.append) as server:
+            return await ending((await server.join(data))[0])
 
     response = asyncio.run(scenario())
     assert response in (b"reject\r\n", b"hb_ok\r\nreject\r\n", b"") and not published
@@ -373,8 +373,8 @@
     monkeypatch.setattr(listener, "SWEEP_PERIOD", SHORT_TIMEOUT)
 
     async def scenario():
-        async with Address([].append) as here:
-            return await ending((await here.join(data))[0])
+        async with Address([].append) as server:
+            return await ending((await server.join(data))[0])
 
     responses = {"HEARTBEAT_TIMEOUT": b"hb_ok\r\nreject\r\n", "LINE_TIMEOUT": b""}
     assert asyncio.run(scenario()) == responses.get(timeout, b"reject\r\n")
@@ -384,8 +384,8 @@
     published, lines = [], STATS.replace(b"fail=0", b"fail=3") * 9 + b"\xfe\xff \r\nwhim\r\n" + STATS
 
     async def scenario():
-        async with Address(published.append) as here:
-            reader, writer = await here.join(b"telemetry site=a\r\n" + lines * 2)
+        async with Address(published.append) as server:
+            reader, writer = await server.join(b"telemetry site=a\r\n" + lines * 2)
             await until(lambda: len(published) == 2)
             writer.write(b"\x17\x03\r\n" * 3 + STATS)
             assert await ending(reader) == b""
@@ -434,10 +434,10 @@
             raise KeyError("publish failure")
 
     async def scenario():
-        async with Address(publish) as here:
-            reader, _ = await here.join(b"telemetry site=a\r\n" + STATS)
+        async with Address(publish) as server:
+            reader, _ = await server.join(b"telemetry site=a\r\n" + STATS)
             assert await ending(reader) == b""
-            await here.join(b"telemetry site=b\r\n" + STATS)
+            await server.join(b"telemetry site=b\r\n" + STATS)
             await until(lambda: len(published) == 2)
 
     asyncio.run(scenario())
@@ -508,11 +508,11 @@
 
 
 def test_an_exception_in_the_brain_ends_the_process_with_an_error(tmp_path):
-    ended = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-c", FAILING_BRAIN_PROGRAM, written(tmp_path)], capture_output=True, text=True
     )
-    assert ended.returncode == 1
-    assert "event=brain_failed" in ended.stdout and "brain failure" in ended.stdout
+    assert completed.returncode == 1
+    assert "event=brain_failed" in completed.stdout and "brain failure" in completed.stdout
 
 
 def test_sigterm_ends_the_process(tmp_path):
@@ -540,14 +540,16 @@
     joined = [chunk(f"event: attach\ndata: id={p}&site=a&rps=2&new=1\n\n") for p in proxies]
     keep_alives = itertools.cycle([0.1, chunk(":\n\n")])
     return StandIn(
-        always=lambda said: (
-            itertools.chain(NEWS, joined, keep_alives) if "events" in said else taken(said.count(";") + 1)
+        always=lambda request: (
+            itertools.chain(NEWS, joined, keep_alives)
+            if "events" in request
+            else taken(request.count(";") + 1)
         )
     )
 
 
 def agent_of(generation):
-    return StandIn(rows(generation, True, a="active"), always=lambda said: [0.1, *rows(generation, False)])
+    return StandIn(rows(generation, True, a="active"), always=lambda request: [0.1, *rows(generation, False)])
 
 
 def test_a_reload_moves_to_the_new_addresses_without_repeated_events(tmp_path):
@@ -628,6 +630,6 @@
             running.cancel()
             return [*old.said, "--", *new.said]
 
-    said = [line.rpartition("changes=")[2] for line in asyncio.run(scenario())]
-    assert said == ["put,1,s-a,1.0", "--", "put,1,s-b,1.0"]
+    requests = [line.rpartition("changes=")[2] for line in asyncio.run(scenario())]
+    assert requests == ["put,1,s-a,1.0", "--", "put,1,s-b,1.0"]
     assert published == []
