--- a/garnetpaddle/net/order_codec.py
+++ b/garnetpaddle/net/order_codec.py
@@ -98,12 +98,12 @@
 def split_by_size(encoded, limit):
     """Splits encoded orders into lists of at most `limit` bytes, each with at least one order."""
     call, size = [], 0
-    for each in encoded:
-        order_bytes = len(quote(each.text, safe="")) + SEPARATOR_BYTES
+    for encoded_order in encoded:
+        order_bytes = len(quote(encoded_order.text, safe="")) + SEPARATOR_BYTES
         if call and size + order_bytes > limit:
             yield call
             call, size = [], 0
-        call.append(each)
+        call.append(encoded_order)
         size += order_bytes
     if call:
         yield call
@@ -114,7 +114,7 @@
 
     The fence is repeated, since a fence reaches only the proxies that its own request reaches, but not to
     all proxies: that would cost every proxy a message."""
-    fences = [each for each in call[:accepted] if isinstance(each.order, gp.Seal)]
+    fences = [encoded for encoded in call[:accepted] if isinstance(encoded.order, gp.Seal)]
     remaining = call[accepted + 1 :]
     if not remaining:
         return []
@@ -123,7 +123,7 @@
 
 def request_body(call):
     """The form body of a request."""
-    changes = ";".join(each.text for each in call)
+    changes = ";".join(encoded.text for encoded in call)
     return b"Action=ApplyOrders&changes=" + quote(changes, safe="").encode()
 
 
@@ -135,7 +135,7 @@
         root = xml.fromstring(bytes(body))
     except (xml.ParseError, ValueError):
         return None
-    counts = [(each.text or "").strip() for each in root.iter("taken")]
+    counts = [(element.text or "").strip() for element in root.iter("taken")]
     if status == 200 and len(counts) == 1 and counts[0].isascii() and counts[0].isdigit():
         plausible = len(counts[0]) <= MAX_COUNT_DIGITS and int(counts[0]) <= sent
         return Accepted(int(counts[0])) if plausible else None
--- a/garnetpaddle/net/order_sender.py
+++ b/garnetpaddle/net/order_sender.py
@@ -80,7 +80,7 @@
     def report_lost(self, encoded, in_doubt):
         """Reports orders that no response confirmed. in_doubt: they may have been executed."""
         if encoded:
-            self.publish(gp.OrdersLost(tuple(each.order for each in encoded), in_doubt))
+            self.publish(gp.OrdersLost(tuple(encoded_order.order for encoded_order in encoded), in_doubt))
 
     def move(self, address):
         """Moves to a new address: switches between two requests, once a connection to it is open. Until then
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -243,8 +243,8 @@
             )
 
     def signal(self, *signals):
-        for each in signals:
-            self.made.send_signal(each)
+        for number in signals:
+            self.made.send_signal(number)
 
     async def end(self):
         """Waits for the exit; returns the exit code and what was written to standard error."""
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -368,8 +368,8 @@
     ],
 )
 def test_a_peer_that_is_silent_or_stuck_within_a_message_is_closed(timeout, data, monkeypatch):
-    for each in ("JOIN_TIMEOUT", "HEARTBEAT_TIMEOUT", "LINE_TIMEOUT"):
-        monkeypatch.setattr(listener, each, SHORT_TIMEOUT if each == timeout else LONG_TIMEOUT)
+    for name in ("JOIN_TIMEOUT", "HEARTBEAT_TIMEOUT", "LINE_TIMEOUT"):
+        monkeypatch.setattr(listener, name, SHORT_TIMEOUT if name == timeout else LONG_TIMEOUT)
     monkeypatch.setattr(listener, "SWEEP_PERIOD", SHORT_TIMEOUT)
 
     async def scenario():
--- a/tests/test_wirehost.py
+++ b/tests/test_wirehost.py
@@ -22,7 +22,7 @@
 
 def serve(*messages):
     written = []
-    lines = [each if isinstance(each, bytes) else json.dumps(each).encode() for each in messages]
+    lines = [message if isinstance(message, bytes) else json.dumps(message).encode() for message in messages]
     code = host.serve(lines, written.append, lambda: None)
     return code, [json.loads(line) for line in written]
 
