--- a/garnetpaddle/advice/__init__.py
+++ b/garnetpaddle/advice/__init__.py
@@ -3,11 +3,11 @@
 WeightTables turn the Brain's lines into integers, advise() selects what a group is sent, refusal() decides
 who may have which group, FollowerLeases who acts as which follower, UpdateDelivery who took what by when."""
 
-from garnetpaddle.advice.access import refusal
+from garnetpaddle.advice.access import refusal_reason
 from garnetpaddle.advice.leases import FollowerLeases, Lease
 from garnetpaddle.advice.update_delivery import UpdateDelivery
 from garnetpaddle.advice.weight_scale import WeightScale
-from garnetpaddle.advice.weight_table import Member, MemberWeight, WeightTable, WeightTables, advise
+from garnetpaddle.advice.weight_table import Member, MemberWeight, WeightTable, WeightTables, member_weights
 
 __all__ = [
     "FollowerLeases",
@@ -18,6 +18,6 @@
     "WeightScale",
     "WeightTable",
     "WeightTables",
-    "advise",
-    "refusal",
+    "member_weights",
+    "refusal_reason",
 ]
--- a/garnetpaddle/advice/access.py
+++ b/garnetpaddle/advice/access.py
@@ -3,7 +3,7 @@
 SAFE_RETRIES = ("none", "on proof")
 
 
-def refusal(effect, retries, level, standing):
+def refusal_reason(effect, retries, level, already_granted):
     """Why a follower may not have a route's advice; "" where it may.
 
     effect: "repeatable", "keyed" or "mutating" (an unknown one counts as mutating). retries: what the
@@ -23,8 +23,8 @@
             f"the route is {effect}, and the operator's file does not state that the follower never "
             "tries a call again that may have run"
         )
-    if level.part <= 0 and not standing:
+    if level.part <= 0 and not already_granted:
         return "nothing of the route is let in now"
-    if effect != "keyed" and retries == "on proof" and level.tries == "none" and not standing:
+    if effect != "keyed" and retries == "on proof" and level.tries == "none" and not already_granted:
         return "no call of the route is tried again now, and the follower would"
     return ""
--- a/garnetpaddle/advice/leases.py
+++ b/garnetpaddle/advice/leases.py
@@ -8,7 +8,10 @@
 FIRST_FOLLOWER_NUMBER = 65_536  # followers' numbers as proxies start here: the platform's are below
 RESTART_PERIOD = 60_000  # 6 s: who joins so soon after our start may hold former advice; see Brain.HEIR
 LEASE_TIMEOUT = 30_000  # 3 s: another connection may take over the lease of one not heard for so long
-MIN_BLOCK, MAX_BLOCK = 10_000, 600_000  # 1 s, doubled up to a minute: how long a failed follower is refused
+MIN_BLOCK_TIME, MAX_BLOCK_TIME = (
+    10_000,
+    600_000,
+)  # 1 s, doubled up to a minute: how long a failed follower is refused
 MAX_FAILURES = 16  # counted in a row
 
 
@@ -18,8 +21,8 @@
     failures: drains in a row that it did not take in time; joined: the Brain counts it as joined."""
 
     name: str
-    number: int
-    rate: float
+    proxy_number: int
+    calls_per_second: float
     zone: str
     holder: int | None = None
     renewed_at: int = 0
@@ -31,7 +34,7 @@
 class Acquisition(NamedTuple):
     """The connection that lost the lease, if any, and the events for the Brain."""
 
-    former_holder: int | None
+    previous_holder: int | None
     events: list
 
 
@@ -46,7 +49,7 @@
             for k, (name, rate, zone) in enumerate(followers)
         }
 
-    def refusal(self, now, name, connection, reads_answers):
+    def refusal_reason(self, now, name, connection, has_read_reply):
         """Why a connection may not acquire a lease; "" where it may. reads_answers: it has sent a message
         after an answer of ours had reached its machine."""
         lease = self.by_name[name]
@@ -54,24 +57,26 @@
             return "another connection follows under this name"
         if lease.failures and now < lease.blocked_until:
             return f"did not take a drain in time; held for {(lease.blocked_until - now) / 10_000:.1f} s more"
-        if lease.failures and not reads_answers:
+        if lease.failures and not has_read_reply:
             return "did not take a drain in time, and has not shown that it reads again"
         return ""
 
     def acquire(self, now, name, connection):
         """The connection becomes the holder, whoever was: an Acquisition."""
         lease = self.by_name[name]
-        former = lease.holder if lease.holder != connection else None
+        previous = lease.holder if lease.holder != connection else None
         events = []
-        if former is not None and lease.joined:
-            events.append(gp.ProxyLeft(lease.number))
+        if previous is not None and lease.joined:
+            events.append(gp.ProxyLeft(lease.proxy_number))
             lease.joined = False
         lease.holder, lease.renewed_at = connection, now
         if not lease.joined:
             lease.joined = True
             fresh = now - self.started_at >= RESTART_PERIOD
-            events.append(gp.ProxyJoined(lease.number, lease.rate, fresh, lease.zone, aside=True))
-        return Acquisition(former, events)
+            events.append(
+                gp.ProxyJoined(lease.proxy_number, lease.calls_per_second, fresh, lease.zone, aside=True)
+            )
+        return Acquisition(previous, events)
 
     def renew(self, now, name, connection):
         """The connection was heard."""
@@ -89,9 +94,9 @@
             return []
         lease.holder = None
         if failed:
-            lease.blocked_until = now + min(MIN_BLOCK * 2**lease.failures, MAX_BLOCK)
+            lease.blocked_until = now + min(MIN_BLOCK_TIME * 2**lease.failures, MAX_BLOCK_TIME)
             lease.failures = min(lease.failures + 1, MAX_FAILURES)
         if not lease.joined:
             return []
         lease.joined = False
-        return [gp.ProxyLeft(lease.number)]
+        return [gp.ProxyLeft(lease.proxy_number)]
--- a/garnetpaddle/advice/session.py
+++ b/garnetpaddle/advice/session.py
@@ -19,7 +19,7 @@
 )
 from garnetpaddle.advice.session_registry import GroupRoute
 from garnetpaddle.advice.update_delivery import UpdateDelivery
-from garnetpaddle.advice.weight_table import advise
+from garnetpaddle.advice.weight_table import member_weights
 
 FIRST_MESSAGE_TIMEOUT = 20_000  # 2 s in which a connection must send its first whole message
 REGISTRATION_TIMEOUT = 50_000  # 5 s more for each message of one that follows nothing
@@ -53,16 +53,18 @@
     for ConnectionLost. Subclasses handle messages (`handle_message`), encode updates (`encode_update`, to
     bytes) and may add times of their own (`extra_timers`). groups: name -> FollowedGroup."""
 
-    def __init__(self, registry, connection, pace, now):
-        self.registry, self.connection, self.pace = registry, connection, pace
+    def __init__(self, registry, connection, min_update_interval, now):
+        self.registry, self.connection, self.min_update_interval = registry, connection, min_update_interval
         self.follower = self.delivery = None
-        self.groups, self.pushes, self.written, self.acked, self.joined_at = {}, False, 0, 0, now
-        self.deadline, self.incomplete_since = now + FIRST_MESSAGE_TIMEOUT, None
+        self.groups, self.push_enabled, self.written, self.acked, self.joined_at = {}, False, 0, 0, now
+        self.deadline, self.partial_message_since = now + FIRST_MESSAGE_TIMEOUT, None
         self.closed, self.timer_at = False, None
-        self.message_count, self.counted_since = 0, now
-        self.reads_answers, self.published_mark = False, None
-        self.drains_noted = None  # the closed tasks and group version whose drains have been noted
-        self.up_to_date = None  # generation and group version of the last check that found nothing to send
+        self.message_count, self.rate_period_start = 0, now
+        self.has_read_reply, self.published_mark = False, None
+        self.recorded_drains_version = None  # the closed tasks and group version whose drains have been noted
+        self.up_to_date_version = (
+            None  # generation and group version of the last check that found nothing to send
+        )
 
     def handle(self, now, event):
         """Handles one event; returns the actions."""
@@ -73,9 +75,9 @@
             case MessageReceived(message):
                 self.receive(now, message, out)
             case InputProcessed(incomplete):
-                self.incomplete_since = (self.incomplete_since or now) if incomplete else None
-            case InputDelayed(span):
-                self.extend_time_limits(span)
+                self.partial_message_since = (self.partial_message_since or now) if incomplete else None
+            case InputDelayed(duration):
+                self.extend_time_limits(duration)
                 return out
             case SnapshotPublished(snapshot):
                 self.registry.snapshot = snapshot
@@ -92,32 +94,34 @@
             self.set_timer(now, out)
         return out
 
-    def extend_time_limits(self, span):
+    def extend_time_limits(self, duration):
         """Input was queued here for this long: the client's time limits do not count it."""
-        self.deadline += span
-        self.incomplete_since = None if self.incomplete_since is None else self.incomplete_since + span
+        self.deadline += duration
+        self.partial_message_since = (
+            None if self.partial_message_since is None else self.partial_message_since + duration
+        )
 
     def receive(self, now, message, out):
         """Counts a message, records what it confirms, and handles it."""
-        self.incomplete_since = None
-        if now - self.counted_since >= RATE_PERIOD:
-            self.message_count, self.counted_since = 0, now
+        self.partial_message_since = None
+        if now - self.rate_period_start >= RATE_PERIOD:
+            self.message_count, self.rate_period_start = 0, now
         self.message_count += 1
         if self.message_count > MAX_MESSAGES:
             return self.close(now, "too many messages", out)
         if self.follower:
             self.confirm_updates(now)
         elif self.acked > 0:
-            self.reads_answers = True
+            self.has_read_reply = True
         self.deadline = now + REGISTRATION_TIMEOUT
         self.handle_message(now, message, out)
 
     def confirm_updates(self, now):
         """A follower's message confirms the updates that its machine had before, and renews the lease."""
-        drains = len(self.delivery.drains)
+        unconfirmed_drains = len(self.delivery.drain_deadlines)
         self.delivery.message_received()
-        self.reads_answers = self.reads_answers or self.delivery.acked_at_message > 0
-        if len(self.delivery.drains) < drains:
+        self.has_read_reply = self.has_read_reply or self.delivery.acked_at_message > 0
+        if len(self.delivery.drain_deadlines) < unconfirmed_drains:
             self.registry.leases.clear_failures(self.follower.name)
         self.registry.leases.renew(now, self.follower.name, self.connection)
 
@@ -152,16 +156,18 @@
 
     def acquire_lease(self, now, follower, out):
         """Acquires the follower's lease, which `leases.refusal` allowed; returns its former holder."""
-        former, events = self.registry.leases.acquire(now, follower.name, self.connection)
+        previous, events = self.registry.leases.acquire(now, follower.name, self.connection)
         if self.follower is None:
             self.follower = follower
-            self.delivery = UpdateDelivery(self.pace, self.registry.grace, follower.takes)
+            self.delivery = UpdateDelivery(
+                self.min_update_interval, self.registry.grace_period, follower.confirmed_by
+            )
             self.delivery.acknowledge(self.acked)
             self.joined_at = now
             self.registry.sessions[self.connection] = self
-            out.append(log_line("follower_joined", follower=follower.name, replaces=former is not None))
+            out.append(log_line("follower_joined", follower=follower.name, replaces=previous is not None))
         out += [PublishEvent(event) for event in events]
-        return former
+        return previous
 
     def release_lease(self, now, why, failed, out):
         """Gives up the lease and the groups."""
@@ -194,44 +200,44 @@
             number = self.registry.member_set_number(group.members)
             group.member_set = MemberSetNumber(group.version, number)
         if group.member_set.number is None or not table.number:
-            return advise(group.members, table, last_sent, admitted)
+            return member_weights(group.members, table, last_sent, admitted)
         cache_key = group.member_set.number, admitted
         if cache_key not in table.cache:
-            table.cache[cache_key] = advise(group.members, table, last_sent, admitted)
+            table.cache[cache_key] = member_weights(group.members, table, last_sent, admitted)
         return table.cache[cache_key]
 
     def is_admitted(self, table, group):
         """Whether anything of the group's route is let in."""
-        level = table.levels.get(group.route.route)
+        level = table.levels.get(group.route.number)
         return level is None or level.part > 0
 
-    def note_drains(self, table):
+    def record_drains(self, table):
         """Every member that drains must be confirmed as taken, sent before or not; see advise."""
         if (
-            self.drains_noted is not None
-            and self.drains_noted[0] is table.closed
-            and self.drains_noted[1] == self.version()
+            self.recorded_drains_version is not None
+            and self.recorded_drains_version[0] is table.closed
+            and self.recorded_drains_version[1] == self.group_versions()
         ):
             return
-        self.drains_noted = table.closed, self.version()
+        self.recorded_drains_version = table.closed, self.group_versions()
         for group in self.groups.values():
             for key, member in group.members.items():
-                self.note_drain(table, group, key, member.current_task(table))
+                self.record_drain(table, group, key, member.current_task(table))
 
-    def note_drain(self, table, group, key, task):
+    def record_drain(self, table, group, key, task):
         """Notes that a member's task drains, or is open again."""
         if task in table.closed:
             if (key, task) not in group.drained:
                 group.drained[key, task] = True
-                self.delivery.drain(task, max(table.closed[task], self.joined_at))
+                self.delivery.add_drain(task, max(table.closed[task], self.joined_at))
         elif (key, task) in group.drained:
             del group.drained[key, task]
-            self.delivery.reopened(task)
+            self.delivery.cancel_drain(task)
 
     def check(self, now, out):
         """Checks the time limits, then sends what is due."""
-        if self.incomplete_since is not None and now >= self.incomplete_since + MESSAGE_TIMEOUT:
-            failed = bool(self.delivery and self.delivery.drains)
+        if self.partial_message_since is not None and now >= self.partial_message_since + MESSAGE_TIMEOUT:
+            failed = bool(self.delivery and self.delivery.drain_deadlines)
             return self.close(now, "half a message", out, failed=failed)
         if self.follower is None:
             if now >= self.deadline:
@@ -239,13 +245,13 @@
             return None
         if self.registry.leases.by_name[self.follower.name].holder != self.connection:
             return self.close(now, "another connection took its seat", out)
-        table, version = self.weight_table(), self.version()
-        if self.up_to_date != (table.generation, version):
-            self.note_drains(table)
-        if why := self.delivery.overdue(now):
+        table, versions = self.weight_table(), self.group_versions()
+        if self.up_to_date_version != (table.generation, versions):
+            self.record_drains(table)
+        if why := self.delivery.overdue_reason(now):
             return self.close(now, why, out, failed=True)
-        if self.pushes and self.up_to_date != (table.generation, version):
-            self.push(now, table, version, out)
+        if self.push_enabled and self.up_to_date_version != (table.generation, versions):
+            self.push(now, table, versions, out)
         self.publish_mark(now, out)
         return None
 
@@ -257,16 +263,16 @@
             number = self.registry.proxy_number(self.follower.name)
             out.append(PublishEvent(gp.Applied(number, mark, max(0, now - self.delivery.sent_at))))
 
-    def push(self, now, table, version, out):
+    def push(self, now, table, versions, out):
         """Sends an update if there is something new and the client may be written to."""
-        drained = self.delivery.unsent(table.closed)
+        drained = self.delivery.unsent_drains(table.closed)
         if not self.delivery.may_send(now, urgent=bool(drained)):
             return
         wanted = self.wanted_weights(table)
         last_sent = self.delivery.last_sent
         changed = {name: group for name, group in wanted.items() if group != last_sent.get(name, {})}
         if not changed and not drained:
-            self.up_to_date = table.generation, version
+            self.up_to_date_version = table.generation, versions
             return
         if not changed:  # sent as zero already, but the drain must still be sent as such
             changed = {
@@ -276,27 +282,30 @@
             }
         self.write(self.encode_update(table, wanted, changed), out)
         self.record_update(now, table, wanted, drained)
-        self.up_to_date = table.generation, version
+        self.up_to_date_version = table.generation, versions
 
     def record_update(self, now, table, wanted, drained):
         """An update with these weights, telling of these drains, was written."""
         self.delivery.last_sent |= wanted
-        self.delivery.sent(now, self.written, table.mark, drained)
+        self.delivery.record_sent(now, self.written, table.mark, drained)
 
-    def version(self):
+    def group_versions(self):
         """Changes whenever groups or members do."""
         return tuple(group.version for group in self.groups.values())
 
     def set_timer(self, now, out):
         """Asks to be called at the next time limit."""
-        times = [] if self.incomplete_since is None else [self.incomplete_since + MESSAGE_TIMEOUT]
+        times = [] if self.partial_message_since is None else [self.partial_message_since + MESSAGE_TIMEOUT]
         if self.follower is None:
             times.append(self.deadline)
         else:
             table = self.weight_table()
-            update_waits = self.pushes and self.up_to_date != (table.generation, self.version())
-            next_check = self.delivery.next_check(update_waits)
-            times += [] if next_check is None else [next_check]
+            update_pending = self.push_enabled and self.up_to_date_version != (
+                table.generation,
+                self.group_versions(),
+            )
+            next_deadline = self.delivery.next_deadline(update_pending)
+            times += [] if next_deadline is None else [next_deadline]
         times += self.extra_timers(now)
         at = min(times, default=None)
         if at is not None:
--- a/garnetpaddle/advice/session_events.py
+++ b/garnetpaddle/advice/session_events.py
@@ -26,7 +26,7 @@
 class InputDelayed:
     """The client's input was queued here for so long before it was read, which is no silence of its own."""
 
-    span: int
+    duration: int
 
 
 @dataclass(frozen=True, slots=True)
--- a/garnetpaddle/advice/session_registry.py
+++ b/garnetpaddle/advice/session_registry.py
@@ -13,7 +13,7 @@
 class GroupRoute:
     """A group's route, by number, and the effect of its calls: "repeatable", "keyed" or "mutating"."""
 
-    route: int
+    number: int
     effect: str
 
 
@@ -24,7 +24,7 @@
     name: str
     groups: tuple[str, ...]
     retries: str
-    takes: str
+    confirmed_by: str
 
 
 class SessionRegistry:
@@ -32,9 +32,9 @@
     zone) of each follower; grace, warm_after: tenths of a ms. sessions: connection -> the session that holds
     a lease, kept by the sessions."""
 
-    def __init__(self, groups, followers, lease_holders, grace, warm_after, started_at):
-        self.groups, self.followers, self.grace = groups, followers, grace
-        self.leases, self.weight_tables = FollowerLeases(lease_holders, started_at), WeightTables(warm_after)
+    def __init__(self, groups, followers, lease_specs, grace_period, warm_after, started_at):
+        self.groups, self.followers, self.grace_period = groups, followers, grace_period
+        self.leases, self.weight_tables = FollowerLeases(lease_specs, started_at), WeightTables(warm_after)
         self.sessions, self.snapshot = {}, EMPTY
         self.last_version, self.member_sets = 0, {}  # member_sets: members -> a number
 
@@ -59,15 +59,15 @@
         self.last_version += 1
         return self.last_version
 
-    def level(self, name, group):
+    def level(self, name, route):
         """The Brain's level for a GroupRoute: by the follower's table, else by the newest one."""
         tables = self.snapshot.tables
         table = self.snapshot.table(self.proxy_number(name)) or (tables[max(tables)] if tables else None)
-        return table.level(group.route) if table else Level(1.0, "none")
+        return table.level(route.number) if table else Level(1.0, "none")
 
     def proxy_number(self, name):
         """A follower's number as a proxy."""
-        return self.leases.by_name[name].number
+        return self.leases.by_name[name].proxy_number
 
     def weight_table(self, name):
         """The WeightTable that a follower is bound to."""
--- a/garnetpaddle/advice/update_delivery.py
+++ b/garnetpaddle/advice/update_delivery.py
@@ -8,15 +8,15 @@
 MAX_UNCONFIRMED = 32  # updates that may be unconfirmed; older ones are merged
 
 
-def drain_allowance(grace):
+def drain_allowance(grace_period):
     """How long after a drain is heard a client may go without having shown that it took it."""
-    return grace - min(max(int(grace * SAFETY_MARGIN), MIN_SAFETY_MARGIN), grace // 2)
+    return grace_period - min(max(int(grace_period * SAFETY_MARGIN), MIN_SAFETY_MARGIN), grace_period // 2)
 
 
 class Unconfirmed(NamedTuple):
     """An update that was written and not yet confirmed. end: the stream's length with it."""
 
-    end: int
+    end_offset: int
     mark: int
     drained: tuple[str, ...]
 
@@ -27,77 +27,81 @@
     confirmed_by: "acknowledged" if the client's TCP having the bytes shows that it took them, "answers" if
     only a later message of the client does."""
 
-    def __init__(self, pace, grace, confirmed_by):
-        self.pace, self.allowance, self.confirmed_by = pace, drain_allowance(grace), confirmed_by
+    def __init__(self, min_update_interval, grace_period, confirmed_by):
+        self.min_update_interval, self.allowance, self.confirmed_by = (
+            min_update_interval,
+            drain_allowance(grace_period),
+            confirmed_by,
+        )
         self.last_sent = {}  # group -> key -> MemberWeight, as last written
-        self.sent_at, self.end = -pace, 0  # of the newest update
+        self.sent_at, self.end_offset = -min_update_interval, 0  # of the newest update
         self.acked, self.acked_at_message = 0, 0  # bytes acknowledged now, and at the client's last message
         self.unconfirmed = []
-        self.drains = {}  # task -> by when its drain must have been taken
+        self.drain_deadlines = {}  # task -> by when its drain must have been taken
         self.mark = None  # of the newest confirmed update
 
-    def drain(self, task, since):
+    def add_drain(self, task, since):
         """A task that this client may hold drains, or is gone, since then. The first report of it counts."""
-        self.drains.setdefault(task, since + self.allowance)
+        self.drain_deadlines.setdefault(task, since + self.allowance)
 
-    def reopened(self, task):
+    def cancel_drain(self, task):
         """The task is ready again."""
-        self.drains.pop(task, None)
+        self.drain_deadlines.pop(task, None)
 
-    def unsent(self, closed):
+    def unsent_drains(self, closed):
         """Drains of which no update has been written."""
         written = {task: True for update in self.unconfirmed for task in update.drained}
-        return [task for task in self.drains if task in closed and task not in written]
+        return [task for task in self.drain_deadlines if task in closed and task not in written]
 
     def may_send(self, now, urgent):
         """Whether an update may be written: one in flight, and one a pace unless it is a drain."""
-        if self.end > self.acked:
+        if self.end_offset > self.acked:
             return False
-        return urgent or now >= self.sent_at + self.pace
+        return urgent or now >= self.sent_at + self.min_update_interval
 
-    def sent(self, now, end, mark, drained):
+    def record_sent(self, now, end_offset, mark, drained):
         """An update was written that tells of these drains. end: the stream's length with it."""
-        self.sent_at, self.end = now, end
-        self.unconfirmed.append(Unconfirmed(end, mark, tuple(drained)))
+        self.sent_at, self.end_offset = now, end_offset
+        self.unconfirmed.append(Unconfirmed(end_offset, mark, tuple(drained)))
         if len(self.unconfirmed) > MAX_UNCONFIRMED:
             older, newer = self.unconfirmed[:2]
             self.unconfirmed[:2] = [newer._replace(drained=older.drained + newer.drained)]
-        self.confirm()
+        self.remove_confirmed()
 
     def acknowledge(self, total):
         """The client's machine has acknowledged so many bytes."""
         self.acked = max(self.acked, total)
         if self.confirmed_by == "acknowledged":
-            self.confirm()
+            self.remove_confirmed()
 
     def message_received(self):
         """A whole message of the client was read, after its machine had acknowledged `acked` bytes."""
         self.acked_at_message = self.acked
-        self.confirm()
+        self.remove_confirmed()
 
-    def confirm(self):
+    def remove_confirmed(self):
         """Settles the updates that the client has shown to have taken."""
         total = self.acked if self.confirmed_by == "acknowledged" else self.acked_at_message
-        while self.unconfirmed and self.unconfirmed[0].end <= total:
+        while self.unconfirmed and self.unconfirmed[0].end_offset <= total:
             update = self.unconfirmed.pop(0)
             self.mark = update.mark
             for task in update.drained:
-                self.drains.pop(task, None)
+                self.drain_deadlines.pop(task, None)
 
-    def overdue(self, now):
+    def overdue_reason(self, now):
         """Why the connection must be closed, or ""."""
-        if any(deadline <= now for deadline in self.drains.values()):
-            late = min(self.drains, key=lambda task: (self.drains[task], task))
+        if any(deadline <= now for deadline in self.drain_deadlines.values()):
+            late = min(self.drain_deadlines, key=lambda task: (self.drain_deadlines[task], task))
             return f"has not shown that it took the drain of {late}"
-        if self.end > self.acked and now >= self.sent_at + READ_TIMEOUT:
+        if self.end_offset > self.acked and now >= self.sent_at + READ_TIMEOUT:
             return "does not read"
         return ""
 
-    def next_check(self, update_waits):
+    def next_deadline(self, update_pending):
         """When to check again; None where nothing is awaited. update_waits: there is something to send."""
-        times = list(self.drains.values())
-        if self.end > self.acked:
+        times = list(self.drain_deadlines.values())
+        if self.end_offset > self.acked:
             times.append(self.sent_at + READ_TIMEOUT)
-        elif update_waits:
-            times.append(self.sent_at + self.pace)
+        elif update_pending:
+            times.append(self.sent_at + self.min_update_interval)
         return min(times, default=None)
--- a/garnetpaddle/advice/weight_table.py
+++ b/garnetpaddle/advice/weight_table.py
@@ -107,11 +107,11 @@
         warm = {
             k: snapshot.at >= t.started_at + self.warm_after or not t.started_at for k, t in tasks.items()
         }
-        integers = self.scale.apply(lines, {k: True for k in lines if not warm.get(k, True)})
+        integers = self.scale.to_integers(lines, {k: True for k in lines if not warm.get(k, True)})
         weights = {}
-        for k, known in tasks.items():
-            if known.closed():
-                weights[k] = DRAINING if known.state == "draining" else UNKNOWN
+        for k, record in tasks.items():
+            if record.closed():
+                weights[k] = DRAINING if record.state == "draining" else UNKNOWN
             elif k in integers:
                 weights[k] = MemberWeight(integers[k], True, False, snapshot.steered)
             else:
@@ -129,7 +129,7 @@
         )
 
 
-def advise(members, table, last_sent, admitted=True):
+def member_weights(members, table, last_sent, admitted=True):
     """What to send of a group's members: key -> MemberWeight.
 
     members: key -> Member; last_sent: key -> MemberWeight; admitted: False where the route's level is 0.
@@ -138,7 +138,7 @@
     left empty while one member is ready and warm, since a failing member beats none there too: these are
     sent weight 1, not confident."""
     if not table.number:
-        return advise_without_table(members, table, last_sent)
+        return member_weights_without_table(members, table, last_sent)
     weights = {}
     for key, member in members.items():
         weight = table.weights.get(member.task) or table.weight_of(member.current_task(table))
@@ -153,7 +153,7 @@
     return weights
 
 
-def advise_without_table(members, table, last_sent):
+def member_weights_without_table(members, table, last_sent):
     """What was sent before, and which members are closed since."""
     weights = {}
     for key, member in members.items():
--- a/garnetpaddle/client/asyncio_client.py
+++ b/garnetpaddle/client/asyncio_client.py
@@ -35,21 +35,21 @@
     group: a slow reader misses those in between. log: what happened, in words, the last 100 entries."""
 
     def __init__(
-        self, address: tuple[str, int], machine: SaspBalancer | DfpManager, decoder: Callable
+        self, address: tuple[str, int], state_machine: SaspBalancer | DfpManager, decoder: Callable
     ) -> None:
-        self.address, self.machine, self.make_decoder = address, machine, decoder
-        self.unread, self.update_waits, self.timer = {}, asyncio.Event(), None
-        self.connect_wanted = asyncio.Event()
-        self.writer = self.running = None
+        self.address, self.state_machine, self.make_decoder = address, state_machine, decoder
+        self.pending_updates, self.update_available, self.timer = {}, asyncio.Event(), None
+        self.connect_requested = asyncio.Event()
+        self.writer = self.run_task = None
         self.log = []
 
     async def __aenter__(self) -> Self:
-        self.running = asyncio.create_task(self.run())
+        self.run_task = asyncio.create_task(self.run())
         return self
 
     async def __aexit__(self, *_):
-        self.running.cancel()
-        await asyncio.gather(self.running, return_exceptions=True)
+        self.run_task.cancel()
+        await asyncio.gather(self.run_task, return_exceptions=True)
         if self.timer:
             self.timer.cancel()
         if self.writer:
@@ -58,15 +58,15 @@
     async def updates(self) -> AsyncIterator[Update]:
         """The newest Update of each group, whenever there is a newer one. Never ends by itself."""
         while True:
-            while not self.unread:
-                self.update_waits.clear()
-                await self.update_waits.wait()
-            group = next(iter(self.unread))
-            yield self.unread.pop(group)
+            while not self.pending_updates:
+                self.update_available.clear()
+                await self.update_available.wait()
+            group = next(iter(self.pending_updates))
+            yield self.pending_updates.pop(group)
 
     def weights(self, group: str) -> tuple[Weight, ...]:
         """The last advice on a group: a tuple of Weight, empty where there was none."""
-        return tuple(self.machine.tables.get(group, {}).values())
+        return tuple(self.state_machine.tables.get(group, {}).values())
 
     def add_log(self, text):
         """Keeps a log entry."""
@@ -74,14 +74,14 @@
 
     def handle(self, event):
         """Hands an event to the state machine and carries out its actions."""
-        for action in self.machine.handle(clock(), event):
+        for action in self.state_machine.handle(clock(), event):
             match action:
                 case events.SendBytes(data):
                     if self.writer:
                         self.writer.write(data)
                 case Update():
-                    self.unread[action.group] = action
-                    self.update_waits.set()
+                    self.pending_updates[action.group] = action
+                    self.update_available.set()
                 case events.Disconnect(why):
                     self.add_log(f"hung up: {why}")
                     if self.writer:
@@ -91,7 +91,7 @@
                 case events.SetTimer(at):
                     self.set_timer(at)
                 case events.Connect():
-                    self.connect_wanted.set()
+                    self.connect_requested.set()
 
     def set_timer(self, at):
         """Replaces the timer."""
@@ -102,10 +102,10 @@
 
     async def run(self):
         """Opens a connection whenever the state machine asks for one; the first at once."""
-        self.connect_wanted.set()
+        self.connect_requested.set()
         while True:
-            await self.connect_wanted.wait()
-            self.connect_wanted.clear()
+            await self.connect_requested.wait()
+            self.connect_requested.clear()
             why = await self.serve_connection()
             self.add_log(f"closed: {why}")
             self.handle(events.ConnectionClosed(why))
@@ -148,11 +148,11 @@
         uid: str,
         groups: Mapping[str, Iterable[MemberAddress]],
         uniform: Uniform | None = None,
-        **how: bool,
+        **options: bool,
     ) -> None:
         members = {name: [MemberData.of(*member) for member in listed] for name, listed in groups.items()}
-        machine = SaspBalancer(uid, members, uniform or random.Random().uniform, **how)
-        super().__init__(address, machine, lambda: sasp.MessageDecoder(MAX_MESSAGE))
+        state_machine = SaspBalancer(uid, members, uniform or random.Random().uniform, **options)
+        super().__init__(address, state_machine, lambda: sasp.MessageDecoder(MAX_MESSAGE))
 
     def register(self, group: str, *members: MemberAddress) -> None:
         """Adds members; raises ValueError for what is no address."""
@@ -187,9 +187,9 @@
         key: Key | None = None,
         uniform: Uniform | None = None,
     ) -> None:
-        machine = DfpManager(name, uniform or random.Random().uniform, keep_alive, key)
-        super().__init__(address, machine, lambda: dfp.MessageDecoder(MAX_MESSAGE, key))
+        state_machine = DfpManager(name, uniform or random.Random().uniform, keep_alive, key)
+        super().__init__(address, state_machine, lambda: dfp.MessageDecoder(MAX_MESSAGE, key))
 
     def weights(self, group: str = "") -> tuple[Weight, ...]:
         """The last advice, empty where there was none; there is one group, whatever its name."""
-        return tuple(self.machine.table.values())
+        return tuple(self.state_machine.table.values())
--- a/garnetpaddle/client/dfp_manager.py
+++ b/garnetpaddle/client/dfp_manager.py
@@ -25,7 +25,7 @@
 class State(enum.Enum):
     """Of the connection to the agent."""
 
-    AWAY = "away"
+    DISCONNECTED = "disconnected"
     FOLLOWING = "following"
 
 
@@ -38,7 +38,7 @@
     def __init__(self, name, uniform, keep_alive=5, key=None):
         self.name, self.uniform, self.keep_alive, self.key = name, uniform, keep_alive, key
         self.table, self.serial, self.failures = {}, 0, 0
-        self.state, self.next_action_at = State.AWAY, None
+        self.state, self.next_action_at = State.DISCONNECTED, None
 
     def handle(self, now, event):
         """Handles one event; returns the actions."""
@@ -50,15 +50,21 @@
             case MessageReceived(codec.Preference(loads)):
                 self.failures, self.next_action_at = 0, now + self.silence_timeout()
                 if loads:
-                    self.take_loads(now, loads, out)
+                    self.apply_loads(now, loads, out)
             case MessageReceived(codec.InvalidMessage(why)):
                 out.append(Disconnect(f"unreadable: {why}"))
             case ConnectionClosed():
                 wait = backoff(MIN_RECONNECT_WAIT, MAX_RECONNECT_WAIT, self.failures, self.uniform)
-                self.state, self.failures, self.next_action_at = State.AWAY, self.failures + 1, now + wait
+                self.state, self.failures, self.next_action_at = (
+                    State.DISCONNECTED,
+                    self.failures + 1,
+                    now + wait,
+                )
             case TimerExpired() if self.next_action_at is not None and now >= self.next_action_at:
                 self.next_action_at = None
-                out.append(Connect() if self.state is State.AWAY else Disconnect("the agent is silent"))
+                out.append(
+                    Connect() if self.state is State.DISCONNECTED else Disconnect("the agent is silent")
+                )
         if self.next_action_at is not None:
             out.append(SetTimer(self.next_action_at))
         return out
@@ -67,7 +73,7 @@
         """How long the agent may be silent."""
         return self.keep_alive * MISSED_KEEP_ALIVES * SECOND
 
-    def take_loads(self, now, loads, out):
+    def apply_loads(self, now, loads, out):
         """The weights of a Preference message."""
         for load in loads:
             for host in load.hosts:
--- a/garnetpaddle/client/sasp_balancer.py
+++ b/garnetpaddle/client/sasp_balancer.py
@@ -23,18 +23,18 @@
 )
 from garnetpaddle.sasp import codec
 from garnetpaddle.sasp import messages as m
-from garnetpaddle.sasp.constants import CONFIDENT, CONTACT, QUIESCE, Code
+from garnetpaddle.sasp.constants import CONFIDENT, CONTACT, QUIESCE, ResponseCode
 
 REPLY_TIMEOUT = 5 * SECOND  # a request unanswered so long: the manager is gone, whatever the connection says
 MIN_REFUSAL_WAIT, MAX_REFUSAL_WAIT = 10_000, 300_000  # 1 s, doubled up to 30 s: before registering again
 MAX_MESSAGE_ID = 0xFFFF_FFFF
-HEALTH = 0x7F  # what this balancer says of its own health: the best
+BALANCER_HEALTH = 0x7F  # what this balancer says of its own health: the best
 
 
 class State(enum.Enum):
     """Of the connection to the manager."""
 
-    AWAY = "away"
+    DISCONNECTED = "disconnected"
     REGISTERING = "registering"
     REFUSED = "refused"
     FOLLOWING = "following"
@@ -49,7 +49,7 @@
 
 def weight_of(entry):
     """An entry of the wire as a Weight."""
-    host, port = entry.member.place
+    host, port = entry.member.endpoint
     return Weight(
         host,
         port,
@@ -72,10 +72,16 @@
     def __init__(self, uid, groups, uniform, push=True, no_change=True, trust=False, answers=True):
         self.uid, self.uniform = uid.encode(), uniform
         self.push, self.no_change, self.trust, self.answers = push, no_change, trust, answers
-        self.groups = {name: {codec.member(x): x for x in members} for name, members in groups.items()}
+        self.groups = {name: {codec.encode_member(x): x for x in members} for name, members in groups.items()}
         self.quiesced = {}  # (group, key) -> True: by our own request
         self.tables = {name: {} for name in groups}  # group -> key -> Weight
-        self.state, self.failures, self.refusals, self.serial, self.message_id = State.AWAY, 0, 0, 0, 0
+        self.state, self.failures, self.refusals, self.serial, self.message_id = (
+            State.DISCONNECTED,
+            0,
+            0,
+            0,
+            0,
+        )
         self.pending, self.interval, self.next_action_at = {}, SECOND, None  # pending: id -> PendingRequest
 
     def handle(self, now, event):
@@ -84,12 +90,12 @@
         match event:
             case ConnectionOpened():
                 self.state, self.pending = State.REGISTERING, {}
-                self.send_state(now, out)
+                self.send_lb_state(now, out)
                 self.register(now, out)
             case MessageReceived(message):
                 self.receive(now, message, out)
             case ConnectionClosed():
-                self.state, self.pending = State.AWAY, {}
+                self.state, self.pending = State.DISCONNECTED, {}
                 wait = backoff(MIN_RECONNECT_WAIT, MAX_RECONNECT_WAIT, self.failures, self.uniform)
                 self.failures, self.next_action_at = self.failures + 1, now + wait
             case TimerExpired():
@@ -112,7 +118,7 @@
             return
         self.next_action_at = None
         match self.state:
-            case State.AWAY:
+            case State.DISCONNECTED:
                 out.append(Connect())
             case State.REFUSED:
                 self.state = State.REGISTERING
@@ -128,11 +134,11 @@
         self.pending[self.message_id] = PendingRequest(request, now + REPLY_TIMEOUT)
         out.append(SendBytes(codec.encode(make(self.message_id))))
 
-    def send_state(self, now, out):
+    def send_lb_state(self, now, out):
         """Tells the manager how this balancer wants to be served."""
         self.send(
             now,
-            lambda n: m.SetLbState(n, self.uid, HEALTH, self.push, self.trust, self.no_change),
+            lambda n: m.SetLbState(n, self.uid, BALANCER_HEALTH, self.push, self.trust, self.no_change),
             "state",
             out,
         )
@@ -162,18 +168,18 @@
         match message:
             case m.Weights() | m.Reply():
                 request = self.pending.pop(message.id, PendingRequest("", 0)).name
-                if message.code != Code.SUCCESS:
+                if message.code != ResponseCode.SUCCESS:
                     self.handle_refusal(now, request, message.code, out)
                 elif isinstance(message, m.Weights):
-                    self.take_poll(now, message, out)
+                    self.handle_weights_reply(now, message, out)
                 elif request == "register":
                     self.state, self.failures, self.refusals = State.FOLLOWING, 0, 0
-                    self.send_quiesced(now, out)
+                    self.send_member_states(now, out)
                     self.request_weights(now, out)
             case m.SendWeights():
-                self.take_weights(now, message.groups, out)
+                self.apply_weights(now, message.groups, out)
                 if self.answers:
-                    self.send_state(now, out)
+                    self.send_lb_state(now, out)
             case _:
                 out.append(Disconnect("unreadable"))
 
@@ -184,15 +190,15 @@
             wait = backoff(MIN_REFUSAL_WAIT, MAX_REFUSAL_WAIT, self.refusals, self.uniform)
             self.state, self.refusals, self.next_action_at = State.REFUSED, self.refusals + 1, now + wait
 
-    def take_poll(self, now, message, out):
+    def handle_weights_reply(self, now, message, out):
         """The answer to a poll; polls again where weights are not pushed, or some group has none yet."""
         self.interval = max(message.interval, 1) * SECOND
-        self.take_weights(now, message.groups, out)
+        self.apply_weights(now, message.groups, out)
         complete = all(self.tables[name] for name, members in self.groups.items() if members)
         if not self.push or not complete:
             self.next_action_at = now + self.interval
 
-    def take_weights(self, now, groups, out):
+    def apply_weights(self, now, groups, out):
         """Weights of groups; those of unknown groups and members are ignored."""
         for name, entries in groups:
             group = name.name.decode("utf-8", "replace")
@@ -200,7 +206,7 @@
                 continue
             weights = {}
             for entry in entries:
-                key = codec.member(entry.member)
+                key = codec.encode_member(entry.member)
                 if key in self.groups[group]:
                     weights[key] = weight_of(entry)
             self.tables[group] |= weights
@@ -213,7 +219,7 @@
         """Carries out a ChangeMembers, at once while following, else at the next registration."""
         members = self.groups.setdefault(event.group, {})
         self.tables.setdefault(event.group, {})
-        changed = {codec.member(data): data for data in event.members}
+        changed = {codec.encode_member(data): data for data in event.members}
         match event.change:
             case Change.ADD:
                 self.add_members(now, event.group, members, changed, out)
@@ -225,28 +231,28 @@
                     if event.change is Change.QUIESCE:
                         self.quiesced[event.group, key] = True
                 if self.state is State.FOLLOWING:
-                    self.send_quiesced(now, out, {(event.group, key): True for key in changed})
+                    self.send_member_states(now, out, {(event.group, key): True for key in changed})
 
     def add_members(self, now, group, members, added, out):
         """Adds members (key -> MemberData) to a group."""
-        new = tuple(data for key, data in added.items() if key not in members)
+        new_members = tuple(data for key, data in added.items() if key not in members)
         members |= added
-        if self.state is State.FOLLOWING and new:
+        if self.state is State.FOLLOWING and new_members:
             name = self.group_name(group)
-            self.send(now, lambda n: m.Register(n, True, ((name, new),)), "add", out)
+            self.send(now, lambda n: m.Register(n, True, ((name, new_members),)), "add", out)
 
     def remove_members(self, now, group, members, removed, out):
         """Removes members (key -> MemberData) from a group."""
-        gone = tuple(data for key, data in removed.items() if key in members)
+        removed_members = tuple(data for key, data in removed.items() if key in members)
         for key in removed:
             members.pop(key, None)
             self.tables[group].pop(key, None)
             self.quiesced.pop((group, key), None)
-        if self.state is State.FOLLOWING and gone:
+        if self.state is State.FOLLOWING and removed_members:
             name = self.group_name(group)
-            self.send(now, lambda n: m.Deregister(n, True, 1, ((name, gone),)), "drop", out)
+            self.send(now, lambda n: m.Deregister(n, True, 1, ((name, removed_members),)), "drop", out)
 
-    def send_quiesced(self, now, out, changed=None):
+    def send_member_states(self, now, out, changed=None):
         """Tells which members we hold quiesced; all of them after a registration."""
         groups = {}
         for group, key in changed or self.quiesced:
--- a/garnetpaddle/dfp/codec.py
+++ b/garnetpaddle/dfp/codec.py
@@ -5,7 +5,7 @@
 import struct
 from dataclasses import dataclass
 
-from garnetpaddle.dfp.constants import MD5, VERSION, Kind, Tlv
+from garnetpaddle.dfp.constants import MD5, VERSION, MessageType, TlvType
 
 HEADER = struct.Struct("!BBHI")  # version, reserved, type, message length
 TLV_HEAD = struct.Struct("!HH")  # of a TLV
@@ -73,7 +73,7 @@
     """A message that cannot be decoded."""
 
     why: str
-    over: bool = False  # the stream is lost with it
+    fatal: bool = False  # the stream is lost with it
 
 
 class DecodeError(ValueError):
@@ -96,165 +96,182 @@
 class MessageDecoder:
     """Decodes a stream of bytes. most: bytes of the longest message accepted; key: what signs them."""
 
-    def __init__(self, most, key=None):
-        self.most, self.key, self.rest, self.lost = most, key, bytearray(), False
+    def __init__(self, max_size, key=None):
+        self.max_size, self.key, self.buffer, self.failed = max_size, key, bytearray(), False
 
     def feed(self, chunk):
         """The messages that this chunk completes."""
-        if self.lost:
+        if self.failed:
             return
-        self.rest += chunk
-        at = 0
-        while len(self.rest) - at >= HEADER.size:
-            version, _, _, size = HEADER.unpack_from(self.rest, at)
+        self.buffer += chunk
+        offset = 0
+        while len(self.buffer) - offset >= HEADER.size:
+            version, _, _, size = HEADER.unpack_from(self.buffer, offset)
             why = ""
             if version != VERSION:
                 why = f"version {version}"
             elif size < HEADER.size:
                 why = f"message length {size}"
-            elif size > self.most:
-                why = f"message of {size} bytes, over {self.most}"
+            elif size > self.max_size:
+                why = f"message of {size} bytes, over {self.max_size}"
             if why:
-                self.lost, self.rest = True, bytearray()
-                yield InvalidMessage(why, over=True)
+                self.failed, self.buffer = True, bytearray()
+                yield InvalidMessage(why, fatal=True)
                 return
-            if len(self.rest) - at < size:
+            if len(self.buffer) - offset < size:
                 break
-            message = decode(bytes(self.rest[at : at + size]), self.key)
-            at += size
+            message = decode(bytes(self.buffer[offset : offset + size]), self.key)
+            offset += size
             yield message
-        del self.rest[:at]
+        del self.buffer[:offset]
 
     def has_partial_message(self):
         """Whether a message has begun and not ended."""
-        return bool(self.rest)
+        return bool(self.buffer)
 
 
-def tlvs(view):
+def iterate_tlvs(data):
     """(type, beginning of the value, value) of each TLV; every length is checked."""
-    at = HEADER.size
-    while at < len(view):
-        if at + TLV_HEAD.size > len(view):
-            raise DecodeError(f"cut short at byte {at}")
-        kind, length = TLV_HEAD.unpack_from(view, at)
-        if length < TLV_HEAD.size or at + length > len(view):
-            raise DecodeError(f"length {length} of a TLV, at byte {at}")
-        yield kind, at + TLV_HEAD.size, view[at + TLV_HEAD.size : at + length]
-        at += length
+    offset = HEADER.size
+    while offset < len(data):
+        if offset + TLV_HEAD.size > len(data):
+            raise DecodeError(f"cut short at byte {offset}")
+        tlv_type, length = TLV_HEAD.unpack_from(data, offset)
+        if length < TLV_HEAD.size or offset + length > len(data):
+            raise DecodeError(f"length {length} of a TLV, at byte {offset}")
+        yield tlv_type, offset + TLV_HEAD.size, data[offset + TLV_HEAD.size : offset + length]
+        offset += length
 
 
 def decode(data, key=None):
     """Decodes a whole message; InvalidMessage(over=True) if its security is wrong."""
     try:
-        _, _, kind, _ = HEADER.unpack_from(data)
-        parts = list(tlvs(memoryview(data)))
-        if why := insecure(data, parts, key):
-            return InvalidMessage(why, over=True)
-        return message(kind, parts)
+        _, _, message_type, _ = HEADER.unpack_from(data)
+        tlvs = list(iterate_tlvs(memoryview(data)))
+        if why := security_error(data, tlvs, key):
+            return InvalidMessage(why, fatal=True)
+        return decode_body(message_type, tlvs)
     except (DecodeError, struct.error) as error:
         return InvalidMessage(str(error))
 
 
-def insecure(data, parts, key):
+def security_error(data, tlvs, key):
     """Why a message's security is wrong; "" if it is right, or none is asked for."""
-    given = [(at, value) for kind, at, value in parts if kind == Tlv.SECURITY]
+    security_tlvs = [(offset, value) for tlv_type, offset, value in tlvs if tlv_type == TlvType.SECURITY]
     if key is None:
         return ""
-    if len(given) != 1 or parts[0][0] != Tlv.SECURITY:
+    if len(security_tlvs) != 1 or tlvs[0][0] != TlvType.SECURITY:
         return "no security, and it is asked for"
-    at, value = given[0]
+    offset, value = security_tlvs[0]
     if len(value) != SECURITY.size:
         raise DecodeError(f"security of {len(value)} bytes")
-    algorithm, number, told = SECURITY.unpack(value)
-    if algorithm != MD5 or number != key.id:
-        return f"security algorithm {algorithm} with key {number}"
-    end = at + SECURITY.size
+    algorithm, key_id, received_digest = SECURITY.unpack(value)
+    if algorithm != MD5 or key_id != key.id:
+        return f"security algorithm {algorithm} with key {key_id}"
+    end = offset + SECURITY.size
     expected = digest(data[: end - 16] + bytes(16) + data[end:], key.secret)
-    return "" if hmac.compare_digest(told, expected) else "security data is wrong"
+    return "" if hmac.compare_digest(received_digest, expected) else "security data is wrong"
 
 
-def message(kind, parts):
+def decode_body(message_type, tlvs):
     """The value of a message's TLVs."""
-    match kind:
-        case Kind.PREFERENCE:
-            return Preference(loads(parts))
-        case Kind.SERVER_STATE:
-            return ServerState(loads(parts))
-        case Kind.PARAMETERS:
-            times = [value for tlv, _, value in parts if tlv == Tlv.KEEP_ALIVE]
+    match message_type:
+        case MessageType.PREFERENCE:
+            return Preference(decode_loads(tlvs))
+        case MessageType.SERVER_STATE:
+            return ServerState(decode_loads(tlvs))
+        case MessageType.PARAMETERS:
+            times = [value for tlv_type, _, value in tlvs if tlv_type == TlvType.KEEP_ALIVE]
             if any(len(value) != 4 for value in times):
                 raise DecodeError("a keep-alive that is no 4 bytes")
             return Parameters(int.from_bytes(times[-1], "big") if times else None)
-        case Kind.BINDID_REQUEST:
+        case MessageType.BINDID_REQUEST:
             return BindIdRequest()
-        case Kind.BINDID_REPORT:
-            tables = [table_items(value, BIND) for tlv, _, value in parts if tlv == Tlv.BINDID_TABLE]
+        case MessageType.BINDID_REPORT:
+            tables = [
+                split_table(value, BIND) for tlv_type, _, value in tlvs if tlv_type == TlvType.BINDID_TABLE
+            ]
             entries = (BIND.unpack(item) for _, items in tables for item in items)
             return BindIdReport(tuple((n, bytes(a), bytes(m)) for n, a, m in entries))
-    raise DecodeError(f"unknown message 0x{kind:04x}")
+    raise DecodeError(f"unknown message 0x{message_type:04x}")
 
 
-def table_items(value, item):
+def split_table(value, item_layout):
     """The head of a load or BindID table, and its items as slices."""
     if len(value) < LOAD.size:
         raise DecodeError("a table without a head")
-    head, rest = LOAD.unpack_from(value), value[LOAD.size :]
-    if len(rest) != head[3] * item.size:
-        raise DecodeError(f"{head[3]} items in {len(rest)} bytes")
-    return head, [rest[at : at + item.size] for at in range(0, len(rest), item.size)]
+    head, item_bytes = LOAD.unpack_from(value), value[LOAD.size :]
+    if len(item_bytes) != head[3] * item_layout.size:
+        raise DecodeError(f"{head[3]} items in {len(item_bytes)} bytes")
+    return head, [
+        item_bytes[offset : offset + item_layout.size]
+        for offset in range(0, len(item_bytes), item_layout.size)
+    ]
 
 
-def loads(parts):
+def decode_loads(tlvs):
     """The loads among a message's TLVs."""
     found = []
-    for kind, _, value in parts:
-        if kind != Tlv.LOAD:
+    for tlv_type, _, value in tlvs:
+        if tlv_type != TlvType.LOAD:
             continue
-        (port, protocol, flags, _, _), items = table_items(value, HOST)
+        (port, protocol, flags, _, _), items = split_table(value, HOST)
         hosts = (HOST.unpack(item) for item in items)
         found.append(Load(port, tuple(Host(bytes(a), w, b) for a, b, w in hosts), protocol, flags))
     return tuple(found)
 
 
-def tlv(kind, value):
+def encode_tlv(tlv_type, value):
     """A TLV as bytes."""
-    return TLV_HEAD.pack(kind, TLV_HEAD.size + len(value)) + value
+    return TLV_HEAD.pack(tlv_type, TLV_HEAD.size + len(value)) + value
 
 
-def load(it):
+def encode_load(load):
     """A load's TLVs as bytes: several if its hosts exceed what one can hold."""
     out = []
-    for at in range(0, max(len(it.hosts), 1), MAX_HOSTS):
-        hosts = it.hosts[at : at + MAX_HOSTS]
-        head = LOAD.pack(it.port, it.protocol, it.flags, len(hosts), 0)
-        out.append(tlv(Tlv.LOAD, head + b"".join(HOST.pack(h.address, h.bind_id, h.weight) for h in hosts)))
+    for first in range(0, max(len(load.hosts), 1), MAX_HOSTS):
+        hosts = load.hosts[first : first + MAX_HOSTS]
+        head = LOAD.pack(load.port, load.protocol, load.flags, len(hosts), 0)
+        out.append(
+            encode_tlv(
+                TlvType.LOAD, head + b"".join(HOST.pack(h.address, h.bind_id, h.weight) for h in hosts)
+            )
+        )
     return b"".join(out)
 
 
-def frame(kind, body, key=None):
+def frame(message_type, body, key=None):
     """A whole message as bytes, signed if there is a key."""
     if key is not None:
-        body = tlv(Tlv.SECURITY, SECURITY.pack(MD5, key.id, bytes(16))) + body
-    data = HEADER.pack(VERSION, 0, kind, HEADER.size + len(body)) + body
+        body = encode_tlv(TlvType.SECURITY, SECURITY.pack(MD5, key.id, bytes(16))) + body
+    data = HEADER.pack(VERSION, 0, message_type, HEADER.size + len(body)) + body
     if key is None:
         return data
     end = HEADER.size + TLV_HEAD.size + SECURITY.size
     return data[: end - 16] + digest(data, key.secret) + data[end:]
 
 
-def encode(it, key=None):
+def encode(message, key=None):
     """A message as bytes."""
-    match it:
+    match message:
         case Preference() | ServerState():
-            kind = Kind.PREFERENCE if isinstance(it, Preference) else Kind.SERVER_STATE
-            return frame(kind, b"".join(map(load, it.loads)), key)
+            message_type = (
+                MessageType.PREFERENCE if isinstance(message, Preference) else MessageType.SERVER_STATE
+            )
+            return frame(message_type, b"".join(map(encode_load, message.loads)), key)
         case Parameters():
-            body = b"" if it.keep_alive is None else tlv(Tlv.KEEP_ALIVE, it.keep_alive.to_bytes(4, "big"))
-            return frame(Kind.PARAMETERS, body, key)
+            body = (
+                b""
+                if message.keep_alive is None
+                else encode_tlv(TlvType.KEEP_ALIVE, message.keep_alive.to_bytes(4, "big"))
+            )
+            return frame(MessageType.PARAMETERS, body, key)
         case BindIdRequest():
-            return frame(Kind.BINDID_REQUEST, b"", key)
+            return frame(MessageType.BINDID_REQUEST, b"", key)
         case BindIdReport():
-            head = LOAD.pack(0, 6, 0, len(it.entries), 0)
-            body = tlv(Tlv.BINDID_TABLE, head + b"".join(BIND.pack(*entry) for entry in it.entries))
-            return frame(Kind.BINDID_REPORT, body, key)
-    raise TypeError(f"no message: {it!r}")
+            head = LOAD.pack(0, 6, 0, len(message.entries), 0)
+            body = encode_tlv(
+                TlvType.BINDID_TABLE, head + b"".join(BIND.pack(*entry) for entry in message.entries)
+            )
+            return frame(MessageType.BINDID_REPORT, body, key)
+    raise TypeError(f"no message: {message!r}")
--- a/garnetpaddle/dfp/constants.py
+++ b/garnetpaddle/dfp/constants.py
@@ -5,7 +5,7 @@
 VERSION = 1
 
 
-class Kind(IntEnum):
+class MessageType(IntEnum):
     """Types of messages."""
 
     PREFERENCE = 0x0101  # agent to manager
@@ -14,7 +14,7 @@
     BINDID_REQUEST, BINDID_REPORT = 0x0401, 0x0402  # manager to agent, and back
 
 
-class Tlv(IntEnum):
+class TlvType(IntEnum):
     """Types of TLVs."""
 
     SECURITY = 0x0001
@@ -25,7 +25,7 @@
 
 MD5 = 1  # the security algorithm; 0 is none
 
-TABLE = (
+FIELD_SOURCES = (
     ("header: version 1, reserved byte, type of 2 bytes, message length of 4 bytes with it", "memory"),
     ("TLV: type and length of 2 bytes each, the length counting these 4", "memory"),
     (
--- a/garnetpaddle/dfp/session.py
+++ b/garnetpaddle/dfp/session.py
@@ -3,7 +3,7 @@
 import ipaddress
 
 from garnetpaddle.advice import Member
-from garnetpaddle.advice.access import refusal
+from garnetpaddle.advice.access import refusal_reason
 from garnetpaddle.advice.session import FIRST_MESSAGE_TIMEOUT, AdviceSession, FollowedGroup
 from garnetpaddle.advice.session_events import NotifySession, WriteBytes, log_line
 from garnetpaddle.dfp import codec
@@ -17,18 +17,25 @@
     """configured_follower, group_name: the operator's, since this wire names neither; keep_alive: tenths of a
     ms, None for none. The one group's members are all tasks that the draft can name."""
 
-    def __init__(self, registry, connection, pace, configured_follower, group_name, keep_alive, key, now):
-        super().__init__(registry, connection, pace, now)
+    def __init__(
+        self, registry, connection, min_update_interval, configured_follower, group_name, keep_alive, key, now
+    ):
+        super().__init__(registry, connection, min_update_interval, now)
         self.configured_follower, self.group_name = configured_follower, group_name
         self.keep_alive, self.key = keep_alive, key
-        self.pushes, self.logged_refusal, self.greeted, self.last_write = True, None, False, now
+        self.push_enabled, self.logged_refusal, self.initial_message_sent, self.last_write_at = (
+            True,
+            None,
+            False,
+            now,
+        )
 
     def handle_message(self, now, message, out):
         """Handles one message of the manager."""
         match message:
-            case codec.InvalidMessage(why, over):
+            case codec.InvalidMessage(why, fatal):
                 out.append(log_line("message_unreadable", why=why))
-                if over:
+                if fatal:
                     self.close(now, "unreadable, or its security is wrong", out)
             case codec.Parameters(keep_alive) if keep_alive is not None:
                 # 0 turns it off; a very short one would be a flood of our own making.
@@ -43,7 +50,7 @@
     def check(self, now, out):
         """Acquires the lease when it can, then checks and sends as every session does."""
         if self.follower is None and not self.closed:
-            self.begin(now, out)
+            self.try_acquire_lease(now, out)
         if self.follower is None and not self.closed:
             # It waits for its lease beyond the time of unknown peers: the port itself says who it is.
             self.deadline = now + FIRST_MESSAGE_TIMEOUT
@@ -51,36 +58,36 @@
             self.update_members(self.registry.snapshot)
         super().check(now, out)
         if any(isinstance(action, WriteBytes) for action in out):
-            self.last_write = now
-        if self.follower and self.keep_alive and now >= self.next_keep_alive():
+            self.last_write_at = now
+        if self.follower and self.keep_alive and now >= self.next_keep_alive_at():
             # Nothing has changed: an empty message says that we are alive, and names nobody.
             self.write(codec.encode(codec.Preference(), self.key), out)
-            self.last_write = now
+            self.last_write_at = now
 
-    def next_keep_alive(self):
+    def next_keep_alive_at(self):
         """When the manager must have been written to."""
-        return self.last_write + self.keep_alive // KEEP_ALIVES_PER_PERIOD
+        return self.last_write_at + self.keep_alive // KEEP_ALIVES_PER_PERIOD
 
-    def begin(self, now, out):
+    def try_acquire_lease(self, now, out):
         """Acquires the lease as soon as it may."""
-        if not self.greeted:
-            self.greeted = True
+        if not self.initial_message_sent:
+            self.initial_message_sent = True
             self.write(codec.encode(codec.Preference(), self.key), out)
         follower, route = self.configured_follower, self.registry.groups[self.group_name]
         level = self.registry.level(follower.name, route)
-        why = refusal(route.effect, follower.retries, level, standing=False)
+        why = refusal_reason(route.effect, follower.retries, level, already_granted=False)
         if why:
             out.append(log_line("follower_refused", warning=True, follower=follower.name, why=why))
             return self.close(now, why, out)
-        why = self.registry.leases.refusal(now, follower.name, self.connection, self.acked > 0)
+        why = self.registry.leases.refusal_reason(now, follower.name, self.connection, self.acked > 0)
         if why:
             if why != self.logged_refusal:
                 out.append(log_line("follower_refused", warning=True, follower=follower.name, why=why))
             self.logged_refusal = why
             return None
-        former = self.acquire_lease(now, follower, out)
-        if former is not None:
-            out.append(NotifySession(former))
+        previous = self.acquire_lease(now, follower, out)
+        if previous is not None:
+            out.append(NotifySession(previous))
         self.groups = {self.group_name: FollowedGroup(route)}
         return None
 
@@ -90,15 +97,15 @@
         if group is None or group.version == snapshot.generation:
             return
         members = {}
-        for task, known in snapshot.tasks.items():
-            if known.address is None:
+        for task, record in snapshot.tasks.items():
+            if record.address is None:
                 continue
             try:
-                key = ipaddress.IPv4Address(known.address[0]).packed, known.address[1]
+                key = ipaddress.IPv4Address(record.address[0]).packed, record.address[1]
             except ValueError:
                 continue
-            if key not in members or not known.closed():
-                members[key] = Member(key, known.address, task)
+            if key not in members or not record.closed():
+                members[key] = Member(key, record.address, task)
         # A task that the list has forgotten stays until the manager has been sent its weight 0.
         last_sent = self.delivery.last_sent.get(self.group_name, {})
         for key, member in group.members.items():
@@ -120,4 +127,4 @@
         """The next attempt to acquire the lease, or the next keep-alive."""
         if self.follower is None:
             return (now + LEASE_RETRY_PERIOD,)
-        return (self.next_keep_alive(),) if self.keep_alive else ()
+        return (self.next_keep_alive_at(),) if self.keep_alive else ()
--- a/garnetpaddle/fronts/connection.py
+++ b/garnetpaddle/fronts/connection.py
@@ -5,7 +5,10 @@
 import struct
 import termios
 
-MIN_ACK_POLL, MAX_ACK_POLL = 200, 3_200  # 20 ms, doubled to 0.32 s: until acknowledged bytes are read again
+MIN_ACK_POLL_INTERVAL, MAX_ACK_POLL_INTERVAL = (
+    200,
+    3_200,
+)  # 20 ms, doubled to 0.32 s: until acknowledged bytes are read again
 
 
 class Connection:
@@ -14,14 +17,17 @@
 
     def __init__(self, number, reader, writer, session, decoder, now):
         self.number, self.reader, self.writer = number, reader, writer
-        self.session, self.decoder, self.last_heard = session, decoder, now
+        self.session, self.decoder, self.last_received_at = session, decoder, now
         self.sock, self.written, self.acked = writer.get_extra_info("socket"), 0, 0
-        self.ack_poll, self.polling_acks = (
-            MIN_ACK_POLL,
+        self.ack_poll_interval, self.ack_poll_scheduled = (
+            MIN_ACK_POLL_INTERVAL,
             False,
         )  # tenths of a ms until the next look; one is due
-        self.wake_at, self.closing = None, False
-        self.queued_since, self.processed = None, asyncio.Event()  # since when input waits; it was processed
+        self.session_timer_at, self.closing = None, False
+        self.input_queued_since, self.input_processed = (
+            None,
+            asyncio.Event(),
+        )  # since when input waits; it was processed
 
     def acknowledged(self):
         """Bytes that the peer's machine has acknowledged."""
@@ -39,7 +45,7 @@
         """Closes it at once."""
         self.closing = True
         self.writer.transport.abort()
-        self.processed.set()
+        self.input_processed.set()
 
     def close(self):
         """Takes no more input, and closes after what was written is handed to the system: whether the peer's
--- a/garnetpaddle/fronts/connection_manager.py
+++ b/garnetpaddle/fronts/connection_manager.py
@@ -24,7 +24,7 @@
     TimerExpired,
     WriteBytes,
 )
-from garnetpaddle.fronts.connection import MAX_ACK_POLL, MIN_ACK_POLL, Connection
+from garnetpaddle.fronts.connection import MAX_ACK_POLL_INTERVAL, MIN_ACK_POLL_INTERVAL, Connection
 from garnetpaddle.fronts.timer_queue import TimerQueue
 
 READ_SIZE = 16 << 10  # bytes read at once: what a flood can make us handle in one go
@@ -35,7 +35,7 @@
 # for seconds, and after a restart of ours all followers connect at once
 TIME_SLICE = 0.001  # s of handling sessions in one go, before other tasks have their turn
 MAX_QUEUED_TIME = 5_000  # 0.5 s that a follower's time limits wait for input of it that we have not read yet
-WAKE, POLL_ACKS = "wake", "poll_acks"  # kinds of timers
+SESSION_TIMER, POLL_ACKS = "wake", "poll_acks"  # kinds of timers
 log = structlog.get_logger()
 
 
@@ -43,14 +43,17 @@
     """publisher: book.SnapshotPublisher; now: the clock, tenths of a ms; publish: receives events for the
     Brain; capacity: the most connections; max_unread: bytes that a client may leave unread."""
 
-    def __init__(self, publisher, now, publish, capacity, max_unread):
+    def __init__(self, publisher, now, publish, max_connections, max_unread):
         self.publisher, self.now, self.publish = publisher, now, publish
-        self.capacity, self.max_unread = capacity, max_unread
-        self.connections, self.serial, self.servers = {}, 0, []
-        self.input, self.input_waits = collections.deque(), asyncio.Event()  # (connection, chunk) in order
+        self.max_connections, self.max_unread = max_connections, max_unread
+        self.connections, self.last_number, self.servers = {}, 0, []
+        self.input_queue, self.input_available = (
+            collections.deque(),
+            asyncio.Event(),
+        )  # (connection, chunk) in order
         self.timers = TimerQueue(now, self.timer_expired)
 
-    async def open(self, address, begin):
+    async def open(self, address, create_session):
         """Listens at (host, port) and returns the bound address.
 
         begin(number, host, now) -> (session, decoder): called for each connection."""
@@ -61,7 +64,7 @@
             sock.bind(address)
 
             async def serve(reader, writer):
-                await self.serve(reader, writer, begin)
+                await self.serve(reader, writer, create_session)
 
             server = await asyncio.start_server(
                 serve, sock=sock, backlog=ACCEPTED_PER_ITERATION, limit=READ_SIZE
@@ -89,15 +92,15 @@
         """Handles clients' input in its order, in slices of time: hundreds of clients that speak at once (all
         register after a restart) delay neither the platform's channel nor a drain."""
         while True:
-            await self.input_waits.wait()
-            self.input_waits.clear()
-            slice_began = time.monotonic()
-            while self.input:
-                connection, chunk = self.input.popleft()
+            await self.input_available.wait()
+            self.input_available.clear()
+            slice_start = time.monotonic()
+            while self.input_queue:
+                connection, chunk = self.input_queue.popleft()
                 self.process_input(connection, chunk)
-                if time.monotonic() - slice_began >= TIME_SLICE:
+                if time.monotonic() - slice_start >= TIME_SLICE:
                     await asyncio.sleep(0)
-                    slice_began = time.monotonic()
+                    slice_start = time.monotonic()
 
     async def distribute_snapshots(self):
         """Hands each newer snapshot to every session; those published meanwhile wait for the next pass."""
@@ -105,27 +108,27 @@
         while True:
             snapshot = await self.publisher.wait_newer(generation)
             generation = snapshot.generation
-            slice_began = time.monotonic()
+            slice_start = time.monotonic()
             for number in list(self.connections):
-                if time.monotonic() - slice_began >= TIME_SLICE:
+                if time.monotonic() - slice_start >= TIME_SLICE:
                     await asyncio.sleep(0)
-                    slice_began = time.monotonic()
+                    slice_start = time.monotonic()
                 connection = self.connections.get(number)
-                if connection and connection.queued_since is None:  # else it follows after its input
-                    self.hand(connection, SnapshotPublished(self.publisher.snapshot))
+                if connection and connection.input_queued_since is None:  # else it follows after its input
+                    self.dispatch(connection, SnapshotPublished(self.publisher.snapshot))
 
-    async def serve(self, reader, writer, begin):
+    async def serve(self, reader, writer, create_session):
         """Serves one connection to its end."""
-        self.serial += 1
-        now, number = self.now(), self.serial
+        self.last_number += 1
+        now, number = self.now(), self.last_number
         host = (writer.get_extra_info("peername") or ("",))[0]
-        session, decoder = begin(number, host, now)
+        session, decoder = create_session(number, host, now)
         connection = Connection(number, reader, writer, session, decoder, now)
         self.connections[number] = connection
         why = "closed"
         try:
-            self.enforce_capacity(connection)
-            self.hand(connection, SnapshotPublished(self.publisher.snapshot))
+            self.enforce_connection_limit(connection)
+            self.dispatch(connection, SnapshotPublished(self.publisher.snapshot))
             await self.read(connection)
         except OSError as error:
             why = error.strerror or type(error).__name__
@@ -142,30 +145,30 @@
     async def read(self, connection):
         """Queues a connection's input, one chunk at a time: a closed connection is not waited for."""
         while not connection.closing and (chunk := await connection.reader.read(READ_SIZE)):
-            connection.last_heard = connection.queued_since = self.now()
-            self.input.append((connection, chunk))
-            self.input_waits.set()
-            connection.processed.clear()
-            await connection.processed.wait()
+            connection.last_received_at = connection.input_queued_since = self.now()
+            self.input_queue.append((connection, chunk))
+            self.input_available.set()
+            connection.input_processed.clear()
+            await connection.input_processed.wait()
 
     def process_input(self, connection, chunk):
         """Decodes a chunk and hands its messages to the session; an error ends this connection alone."""
         try:
-            if (waited := self.now() - connection.queued_since) > 0:
-                self.hand(connection, InputDelayed(waited))
-            connection.queued_since = None
+            if (waited := self.now() - connection.input_queued_since) > 0:
+                self.dispatch(connection, InputDelayed(waited))
+            connection.input_queued_since = None
             for message in connection.decoder.feed(chunk) if not connection.closing else ():
                 connection.acked = max(connection.acked, connection.acknowledged())
-                self.hand(connection, BytesAcknowledged(connection.acked), MessageReceived(message))
+                self.dispatch(connection, BytesAcknowledged(connection.acked), MessageReceived(message))
                 if connection.closing:
                     break
-            self.hand(connection, InputProcessed(connection.decoder.has_partial_message()))
+            self.dispatch(connection, InputProcessed(connection.decoder.has_partial_message()))
         except Exception:
             log.exception("connection_failed")
             connection.abort()
-        connection.processed.set()
+        connection.input_processed.set()
 
-    def hand(self, connection, *events):
+    def dispatch(self, connection, *events):
         """Hands events to a session and executes its actions; an error ends this connection alone."""
         for event in events:
             if connection.closing:
@@ -185,13 +188,13 @@
                 case PublishEvent(event):
                     self.publish(event)
                 case SetTimer(at):
-                    connection.wake_at = at
+                    connection.session_timer_at = at
                     if at is not None:
-                        self.timers.set(at, connection.number, WAKE)
+                        self.timers.add(at, connection.number, SESSION_TIMER)
                 case NotifySession(number):
                     asyncio.get_running_loop().call_soon(self.notify, number)
-                case LogLine(event, words, loud):
-                    (log.warning if loud else log.info)(event, **dict(words))
+                case LogLine(event, fields, warning):
+                    (log.warning if warning else log.info)(event, **dict(fields))
                 case CloseConnection():
                     connection.close()
 
@@ -202,14 +205,14 @@
         if connection.unsent() > self.max_unread:
             log.warning("answers_unread", bytes=connection.unsent())
             connection.close()
-        elif not connection.polling_acks:
-            connection.ack_poll, connection.polling_acks = MIN_ACK_POLL, True
-            self.timers.set(self.now() + MIN_ACK_POLL, connection.number, POLL_ACKS)
+        elif not connection.ack_poll_scheduled:
+            connection.ack_poll_interval, connection.ack_poll_scheduled = MIN_ACK_POLL_INTERVAL, True
+            self.timers.add(self.now() + MIN_ACK_POLL_INTERVAL, connection.number, POLL_ACKS)
 
     def notify(self, number):
         """Another session has changed what this connection's session must look at."""
         if connection := self.connections.get(number):
-            self.hand(connection, SnapshotPublished(self.publisher.snapshot))
+            self.dispatch(connection, SnapshotPublished(self.publisher.snapshot))
 
     def timer_expired(self, timer, now):
         """A timer is due. Outdated ones, of closed connections or replaced times, are ignored."""
@@ -218,40 +221,40 @@
             return
         if timer.kind == POLL_ACKS:
             self.poll_acknowledged(connection, now)
-        elif connection.wake_at != timer.at:
+        elif connection.session_timer_at != timer.at:
             return
-        elif self.input_first(connection, now):
-            connection.wake_at = now + MIN_ACK_POLL
-            self.timers.set(connection.wake_at, timer.connection, WAKE)
+        elif self.must_wait_for_input(connection, now):
+            connection.session_timer_at = now + MIN_ACK_POLL_INTERVAL
+            self.timers.add(connection.session_timer_at, timer.connection, SESSION_TIMER)
         else:
-            connection.wake_at = None
-            self.hand(connection, TimerExpired())
+            connection.session_timer_at = None
+            self.dispatch(connection, TimerExpired())
 
-    def input_first(self, connection, now):
+    def must_wait_for_input(self, connection, now):
         """Whether a session's time limits wait for its queued input."""
-        if connection.queued_since is None:
+        if connection.input_queued_since is None:
             return False
-        return connection.session.follower is None or now - connection.queued_since < MAX_QUEUED_TIME
+        return connection.session.follower is None or now - connection.input_queued_since < MAX_QUEUED_TIME
 
     def poll_acknowledged(self, connection, now):
         """Tells the session of newly acknowledged bytes. The system does not notify us of them, so we look
         again, at growing intervals, until all are acknowledged."""
         acknowledged = connection.acknowledged()
         if acknowledged > connection.acked:
-            connection.acked, connection.ack_poll = acknowledged, MIN_ACK_POLL
-            self.hand(connection, BytesAcknowledged(acknowledged))
+            connection.acked, connection.ack_poll_interval = acknowledged, MIN_ACK_POLL_INTERVAL
+            self.dispatch(connection, BytesAcknowledged(acknowledged))
         else:
-            connection.ack_poll = min(connection.ack_poll * 2, MAX_ACK_POLL)
-        connection.polling_acks = acknowledged < connection.written
-        if connection.polling_acks:
-            self.timers.set(now + connection.ack_poll, connection.number, POLL_ACKS)
+            connection.ack_poll_interval = min(connection.ack_poll_interval * 2, MAX_ACK_POLL_INTERVAL)
+        connection.ack_poll_scheduled = acknowledged < connection.written
+        if connection.ack_poll_scheduled:
+            self.timers.add(now + connection.ack_poll_interval, connection.number, POLL_ACKS)
 
-    def enforce_capacity(self, connection):
+    def enforce_connection_limit(self, connection):
         """Above the capacity closes the client that follows nothing and was silent longest."""
-        if len(self.connections) <= self.capacity:
+        if len(self.connections) <= self.max_connections:
             return
         others = [x for x in self.connections.values() if x.session.follower is None and x is not connection]
-        longest = min(others, key=lambda x: (x.last_heard, x.number), default=connection)
-        log.warning("stranger_dropped", connections=self.capacity)
+        longest = min(others, key=lambda x: (x.last_received_at, x.number), default=connection)
+        log.warning("stranger_dropped", connections=self.max_connections)
         self.connections.pop(longest.number, None)
         longest.abort()
--- a/garnetpaddle/fronts/front_ends.py
+++ b/garnetpaddle/fronts/front_ends.py
@@ -35,9 +35,9 @@
     followers = {
         uid_of(f): Follower(f.name, tuple(f.groups), f.retries, f.takes) for f in configuration.followers
     }
-    lease_holders = [(f.name, f.calls_per_second, f.zone or terms.zone) for f in configuration.followers]
-    grace = tenths(settings.contract.stop_sending_within)
-    return SessionRegistry(groups, followers, lease_holders, grace, terms.warm_after, started_at)
+    lease_specs = [(f.name, f.calls_per_second, f.zone or terms.zone) for f in configuration.followers]
+    grace_period = tenths(settings.contract.stop_sending_within)
+    return SessionRegistry(groups, followers, lease_specs, grace_period, terms.warm_after, started_at)
 
 
 class FrontEnds:
@@ -47,7 +47,11 @@
     (host, port); now: the clock, tenths of a ms; publish: receives events for the Brain."""
 
     def __init__(self, configuration, settings, terms, task_addresses, now, publish):
-        self.configuration, self.task_addresses, self.known_addresses = configuration, task_addresses, None
+        self.configuration, self.task_addresses, self.published_addresses = (
+            configuration,
+            task_addresses,
+            None,
+        )
         self.snapshot_builder, self.publisher = SnapshotBuilder(terms.gone_binds), SnapshotPublisher()
         self.registry = session_registry_of(configuration, settings, terms, now())
         limits = configuration.limits
@@ -65,8 +69,8 @@
             return
         try:
             changed_addresses = None
-            if self.task_addresses.by_task != self.known_addresses:
-                changed_addresses = self.known_addresses = dict(self.task_addresses.by_task)
+            if self.task_addresses.by_task != self.published_addresses:
+                changed_addresses = self.published_addresses = dict(self.task_addresses.by_task)
             self.publisher.publish(self.snapshot_builder.update(now, events, orders, changed_addresses))
         except Exception:
             log.exception("book_failed")
@@ -89,10 +93,10 @@
         for front in self.configuration.dfp:
             self.addresses[front.name] = await self.listen(front, self.dfp_sessions(front, max_message))
 
-    async def listen(self, front, begin):
+    async def listen(self, front, create_session):
         """Opens one listener; returns its address."""
         try:
-            at = await self.manager.open(split_address(front.listen), begin)
+            at = await self.manager.open(split_address(front.listen), create_session)
         except OSError as error:
             raise OSError(error.errno, f"{front.name}, {front.listen}: {error.strerror or error}") from None
         log.info("front_open", front=front.name, listen=f"{at[0]}:{at[1]}")
@@ -101,7 +105,7 @@
     def sasp_sessions(self, front, max_message):
         """A function that begins a SASP session; see ConnectionManager.open."""
 
-        def begin(number, host, now):
+        def create_session(number, host, now):
             session = sasp.Session(
                 self.registry,
                 number,
@@ -113,7 +117,7 @@
             )
             return session, sasp.MessageDecoder(max_message)
 
-        return begin
+        return create_session
 
     def dfp_sessions(self, front, max_message):
         """A function that begins a DFP session; see ConnectionManager.open."""
@@ -123,7 +127,7 @@
             with open(front.secret_file, "rb") as file:
                 key = Key(front.key_id, file.read().strip())
 
-        def begin(number, host, now):
+        def create_session(number, host, now):
             session = dfp.Session(
                 self.registry,
                 number,
@@ -136,7 +140,7 @@
             )
             return session, dfp.MessageDecoder(max_message, key)
 
-        return begin
+        return create_session
 
     async def run(self):
         """Serves the connections, for ever."""
--- a/garnetpaddle/fronts/timer_queue.py
+++ b/garnetpaddle/fronts/timer_queue.py
@@ -11,7 +11,7 @@
     """The serial keeps timers of one moment in the order in which they were set."""
 
     at: int
-    serial: int
+    sequence: int
     connection: int
     kind: str
 
@@ -21,33 +21,33 @@
 
     def __init__(self, now, expired):
         self.now, self.expired = now, expired
-        self.timers, self.serial, self.handle = [], 0, None
+        self.timers, self.sequence, self.loop_timer = [], 0, None
 
     def __bool__(self):
         return bool(self.timers)
 
-    def set(self, at, connection, kind):
+    def add(self, at, connection, kind):
         """Sets a timer; timers are never removed, so `expired` has to ignore outdated ones."""
-        self.serial += 1
-        heapq.heappush(self.timers, Timer(at, self.serial, connection, kind))
-        if self.timers[0].serial == self.serial:
+        self.sequence += 1
+        heapq.heappush(self.timers, Timer(at, self.sequence, connection, kind))
+        if self.timers[0].sequence == self.sequence:
             self.schedule()
 
     def schedule(self):
         """Sets the event loop's timer to the first one due."""
         self.cancel()
         wait = max(0.0, (self.timers[0].at - self.now()) / TENTHS_OF_MS_PER_SECOND)
-        self.handle = asyncio.get_running_loop().call_later(wait, self.run_due)
+        self.loop_timer = asyncio.get_running_loop().call_later(wait, self.run_due)
 
     def run_due(self):
         """Handles every timer that is due now."""
-        self.handle, now = None, self.now()
+        self.loop_timer, now = None, self.now()
         while self.timers and self.timers[0].at <= now:
             self.expired(heapq.heappop(self.timers), now)
-        if self.timers and self.handle is None:
+        if self.timers and self.loop_timer is None:
             self.schedule()
 
     def cancel(self):
         """Stops the event loop's timer."""
-        if self.handle:
-            self.handle.cancel()
+        if self.loop_timer:
+            self.loop_timer.cancel()
--- a/garnetpaddle/sasp/codec.py
+++ b/garnetpaddle/sasp/codec.py
@@ -6,14 +6,24 @@
 from dataclasses import dataclass
 
 from garnetpaddle.sasp import messages as m
-from garnetpaddle.sasp.constants import LB_FLAG, NO_CHANGE, PUSH, QUIESCED, TRUST, VERSION, Code, Kind, Part
+from garnetpaddle.sasp.constants import (
+    LB_FLAG,
+    NO_CHANGE,
+    PUSH,
+    STATE_QUIESCED,
+    TRUST,
+    VERSION,
+    ComponentType,
+    MessageType,
+    ResponseCode,
+)
 
 HEADER = struct.Struct("!HHBII")  # section 5.1: type, length, version, message length, message id
 COMPONENT_HEAD = struct.Struct("!HH")  # type and length of a component
 MEMBER = struct.Struct("!HHBH16sB")  # section 5.2, up to the label
 ENTRY = struct.Struct("!HHBBH")  # section 5.4, what is not the member
 STATE = struct.Struct("!HHBB")  # section 5.5, likewise
-KINDS = frozenset(Kind)
+MESSAGE_TYPES = frozenset(MessageType)
 MAX_LENGTH = 0xFFFF  # of a component's length
 
 
@@ -24,15 +34,15 @@
 
     why: str
     id: int | None = None
-    kind: int | None = None
-    over: bool = False
+    message_type: int | None = None
+    fatal: bool = False
 
 
 class DecodeError(ValueError):
     """A component is malformed; the message says why."""
 
 
-class CannotEncode(ValueError):
+class EncodeError(ValueError):
     """A message whose values the wire has no room for."""
 
 
@@ -40,380 +50,434 @@
     """Decodes a stream of bytes. most: bytes of the longest message accepted; a longer one, or an invalid
     header, yields InvalidMessage(over=True), and nothing is read after it. Never holds more than that."""
 
-    def __init__(self, most):
-        self.most, self.rest, self.lost = most, bytearray(), False
+    def __init__(self, max_size):
+        self.max_size, self.buffer, self.failed = max_size, bytearray(), False
 
     def feed(self, chunk):
         """The messages that this chunk completes, as Message or InvalidMessage."""
-        if self.lost:
+        if self.failed:
             return
-        self.rest += chunk
-        at = 0
-        while len(self.rest) - at >= HEADER.size:
-            kind, length, version, size, number = HEADER.unpack_from(self.rest, at)
+        self.buffer += chunk
+        offset = 0
+        while len(self.buffer) - offset >= HEADER.size:
+            component_type, length, version, size, message_id = HEADER.unpack_from(self.buffer, offset)
             why = ""
-            if (kind, length) != (Part.HEADER, HEADER.size):
-                why = f"no header: 0x{kind:04x}, length {length}"
+            if (component_type, length) != (ComponentType.HEADER, HEADER.size):
+                why = f"no header: 0x{component_type:04x}, length {length}"
             elif version != VERSION:
                 why = f"version {version}"
             elif size < HEADER.size + COMPONENT_HEAD.size:
                 why = f"message length {size}"
-            elif size > self.most:
-                why = f"message of {size} bytes, over {self.most}"
+            elif size > self.max_size:
+                why = f"message of {size} bytes, over {self.max_size}"
             if why:
-                self.lost, self.rest = True, bytearray()
-                known = number if (kind, length) == (Part.HEADER, HEADER.size) else None
-                yield InvalidMessage(why, known, over=True)
+                self.failed, self.buffer = True, bytearray()
+                valid_id = (
+                    message_id if (component_type, length) == (ComponentType.HEADER, HEADER.size) else None
+                )
+                yield InvalidMessage(why, valid_id, fatal=True)
                 return
-            if len(self.rest) - at < size:
+            if len(self.buffer) - offset < size:
                 break
-            yield decode(memoryview(bytes(self.rest[at + HEADER.size : at + size])), number)
-            at += size
-        del self.rest[:at]
+            yield decode(memoryview(bytes(self.buffer[offset + HEADER.size : offset + size])), message_id)
+            offset += size
+        del self.buffer[:offset]
 
     def has_partial_message(self):
         """Whether a message has begun and not ended."""
-        return bool(self.rest)
+        return bool(self.buffer)
 
 
 class Cursor:
     """Reads components in turn; every length is checked against the bytes available."""
 
-    def __init__(self, view):
-        self.view, self.at, self.nested = view, 0, False
+    def __init__(self, data):
+        self.data, self.offset, self.inclusive_lengths = data, 0, False
 
-    def take(self, form):
+    def unpack(self, layout):
         """Unpacks a struct."""
-        if self.at + form.size > len(self.view):
-            raise DecodeError(f"cut short at byte {self.at}")
-        values = form.unpack_from(self.view, self.at)
-        self.at += form.size
+        if self.offset + layout.size > len(self.data):
+            raise DecodeError(f"cut short at byte {self.offset}")
+        values = layout.unpack_from(self.data, self.offset)
+        self.offset += layout.size
         return values
 
-    def bytes(self, count):
+    def read_bytes(self, count):
         """The next bytes."""
-        if self.at + count > len(self.view):
-            raise DecodeError(f"cut short at byte {self.at}")
-        self.at += count
-        return bytes(self.view[self.at - count : self.at])
+        if self.offset + count > len(self.data):
+            raise DecodeError(f"cut short at byte {self.offset}")
+        self.offset += count
+        return bytes(self.data[self.offset - count : self.offset])
 
-    def head(self, kind):
+    def read_component_head(self, component_type):
         """The beginning and stated length of a component of this type."""
-        begin = self.at
-        got, length = self.take(COMPONENT_HEAD)
-        if got != kind:
-            raise DecodeError(f"0x{got:04x} where 0x{kind:04x} is due, at byte {begin}")
-        return begin, length
+        start = self.offset
+        found, length = self.unpack(COMPONENT_HEAD)
+        if found != component_type:
+            raise DecodeError(f"0x{found:04x} where 0x{component_type:04x} is due, at byte {start}")
+        return start, length
 
-    def ends(self, begin, length, own):
+    def check_length(self, start, length, own_length):
         """Checks the length of a component that ends here: that of its own fields, or of nested ones too."""
-        if length == own:
+        if length == own_length:
             return
-        if length != self.at - begin:
-            raise DecodeError(f"length {length} of a component of {own}, at byte {begin}")
-        self.nested = True
+        if length != self.offset - start:
+            raise DecodeError(f"length {length} of a component of {own_length}, at byte {start}")
+        self.inclusive_lengths = True
 
 
-def decode(view, number):
+def decode(data, message_id):
     """Decodes a message behind its header: Message or InvalidMessage."""
-    kind = None
+    message_type = None
     try:
-        kind = int.from_bytes(view[:2], "big")
-        if kind not in READ:
-            raise DecodeError(f"unknown message 0x{kind:04x}")
-        cursor = Cursor(view)
-        begin, length = cursor.head(kind)
-        message = READ[kind](cursor, number, begin, length)
-        if cursor.at != len(view):
-            raise DecodeError(f"{len(view) - cursor.at} bytes too many")
+        message_type = int.from_bytes(data[:2], "big")
+        if message_type not in READERS:
+            raise DecodeError(f"unknown message 0x{message_type:04x}")
+        cursor = Cursor(data)
+        start, length = cursor.read_component_head(message_type)
+        message = READERS[message_type](cursor, message_id, start, length)
+        if cursor.offset != len(data):
+            raise DecodeError(f"{len(data) - cursor.offset} bytes too many")
         return message
     except DecodeError as error:
-        return InvalidMessage(str(error), number, kind)
+        return InvalidMessage(str(error), message_id, message_type)
 
 
-def read_member(c):
+def read_member(cursor):
     """Member data, section 5.2."""
-    begin = c.at
-    kind, length, protocol, port, address, size = c.take(MEMBER)
-    if kind != Part.MEMBER:
-        raise DecodeError(f"0x{kind:04x} where member data is due, at byte {begin}")
-    label = c.bytes(size)
-    if length != c.at - begin:
-        raise DecodeError(f"length {length} of member data, at byte {begin}")
+    start = cursor.offset
+    component_type, length, protocol, port, address, size = cursor.unpack(MEMBER)
+    if component_type != ComponentType.MEMBER:
+        raise DecodeError(f"0x{component_type:04x} where member data is due, at byte {start}")
+    label = cursor.read_bytes(size)
+    if length != cursor.offset - start:
+        raise DecodeError(f"length {length} of member data, at byte {start}")
     return m.MemberData(protocol, port, address, label)
 
 
-def read_group(c):
+def read_group(cursor):
     """Group data, section 5.3."""
-    begin, length = c.head(Part.GROUP)
-    uid = c.bytes(c.bytes(1)[0])
-    name = c.bytes(c.bytes(1)[0])
-    if length != c.at - begin:
-        raise DecodeError(f"length {length} of group data, at byte {begin}")
+    start, length = cursor.read_component_head(ComponentType.GROUP)
+    uid = cursor.read_bytes(cursor.read_bytes(1)[0])
+    name = cursor.read_bytes(cursor.read_bytes(1)[0])
+    if length != cursor.offset - start:
+        raise DecodeError(f"length {length} of group data, at byte {start}")
     return m.GroupName(uid, name)
 
 
-def read_entry(c):
+def read_weight_entry(cursor):
     """A weight entry, section 5.4."""
-    begin, length = c.head(Part.WEIGHT_ENTRY)
-    member = read_member(c)
-    state, flags, weight = c.take(ENTRY_REST)
-    c.ends(begin, length, ENTRY.size)
+    start, length = cursor.read_component_head(ComponentType.WEIGHT_ENTRY)
+    member = read_member(cursor)
+    state, flags, weight = cursor.unpack(ENTRY_REST)
+    cursor.check_length(start, length, ENTRY.size)
     return m.WeightEntry(member, weight, flags, state)
 
 
-def read_state(c):
+def read_state_entry(cursor):
     """A member state, section 5.5."""
-    begin, length = c.head(Part.STATE_ENTRY)
-    member = read_member(c)
-    state, flags = c.take(STATE_REST)
-    c.ends(begin, length, STATE.size)
-    return m.StateEntry(member, state, bool(flags & QUIESCED))
+    start, length = cursor.read_component_head(ComponentType.STATE_ENTRY)
+    member = read_member(cursor)
+    state, flags = cursor.unpack(STATE_REST)
+    cursor.check_length(start, length, STATE.size)
+    return m.StateEntry(member, state, bool(flags & STATE_QUIESCED))
 
 
 ENTRY_REST, STATE_REST, COUNT = struct.Struct("!BBH"), struct.Struct("!BB"), struct.Struct("!H")
 
 
-def read_list(c, kind, item):
+def read_group_with_items(cursor, component_type, read_item):
     """A group with its items."""
-    begin, length = c.head(kind)
-    (count,) = c.take(COUNT)
-    group = read_group(c)
-    items = tuple(item(c) for _ in range(count))
-    c.ends(begin, length, COMPONENT_HEAD.size + COUNT.size)
+    start, length = cursor.read_component_head(component_type)
+    (count,) = cursor.unpack(COUNT)
+    group = read_group(cursor)
+    items = tuple(read_item(cursor) for _ in range(count))
+    cursor.check_length(start, length, COMPONENT_HEAD.size + COUNT.size)
     return group, items
 
 
-def read_lists(c, count, kind, item):
+def read_groups_with_items(cursor, count, component_type, read_item):
     """Several groups with their items."""
-    return tuple(read_list(c, kind, item) for _ in range(count))
+    return tuple(read_group_with_items(cursor, component_type, read_item) for _ in range(count))
 
 
-def read_register(c, number, begin, length):
+def read_register(cursor, message_id, start, length):
     """A registration."""
-    flags, count = c.take(struct.Struct("!BH"))
-    groups = read_lists(c, count, Part.MEMBERS_OF_GROUP, read_member)
-    c.ends(begin, length, 7)
-    return m.Register(number, bool(flags & LB_FLAG), groups, c.nested)
+    flags, count = cursor.unpack(struct.Struct("!BH"))
+    groups = read_groups_with_items(cursor, count, ComponentType.MEMBERS_OF_GROUP, read_member)
+    cursor.check_length(start, length, 7)
+    return m.Register(message_id, bool(flags & LB_FLAG), groups, cursor.inclusive_lengths)
 
 
-def read_deregister(c, number, begin, length):
+def read_deregister(cursor, message_id, start, length):
     """A deregistration."""
-    flags, reason, count = c.take(struct.Struct("!BBH"))
-    groups = read_lists(c, count, Part.MEMBERS_OF_GROUP, read_member)
-    c.ends(begin, length, 8)
-    return m.Deregister(number, bool(flags & LB_FLAG), reason, groups, c.nested)
+    flags, reason, count = cursor.unpack(struct.Struct("!BBH"))
+    groups = read_groups_with_items(cursor, count, ComponentType.MEMBERS_OF_GROUP, read_member)
+    cursor.check_length(start, length, 8)
+    return m.Deregister(message_id, bool(flags & LB_FLAG), reason, groups, cursor.inclusive_lengths)
 
 
-def read_get(c, number, begin, length):
+def read_get_weights(cursor, message_id, start, length):
     """A request for weights."""
-    (count,) = c.take(COUNT)
-    groups = tuple(read_group(c) for _ in range(count))
-    c.ends(begin, length, 6)
-    return m.GetWeights(number, groups, c.nested)
+    (count,) = cursor.unpack(COUNT)
+    groups = tuple(read_group(cursor) for _ in range(count))
+    cursor.check_length(start, length, 6)
+    return m.GetWeights(message_id, groups, cursor.inclusive_lengths)
 
 
-def read_weights(c, number, begin, length):
+def read_weights_reply(cursor, message_id, start, length):
     """The answer to a request for weights."""
-    code, interval, count = c.take(struct.Struct("!BHH"))
-    groups = read_lists(c, count, Part.WEIGHTS_OF_GROUP, read_entry)
-    c.ends(begin, length, 9)
-    return m.Weights(number, code, interval, groups, c.nested)
+    code, interval, count = cursor.unpack(struct.Struct("!BHH"))
+    groups = read_groups_with_items(cursor, count, ComponentType.WEIGHTS_OF_GROUP, read_weight_entry)
+    cursor.check_length(start, length, 9)
+    return m.Weights(message_id, code, interval, groups, cursor.inclusive_lengths)
 
 
-def read_send(c, number, begin, length):
+def read_send_weights(cursor, message_id, start, length):
     """Weights that the manager sends by itself."""
-    (count,) = c.take(COUNT)
-    groups = read_lists(c, count, Part.WEIGHTS_OF_GROUP, read_entry)
-    c.ends(begin, length, 6)
-    return m.SendWeights(number, groups, c.nested)
+    (count,) = cursor.unpack(COUNT)
+    groups = read_groups_with_items(cursor, count, ComponentType.WEIGHTS_OF_GROUP, read_weight_entry)
+    cursor.check_length(start, length, 6)
+    return m.SendWeights(message_id, groups, cursor.inclusive_lengths)
 
 
-def read_lb_state(c, number, begin, length):
+def read_lb_state(cursor, message_id, start, length):
     """A balancer's state."""
-    uid = c.bytes(c.bytes(1)[0])
-    health, flags = c.take(STATE_REST)
-    c.ends(begin, length, c.at - begin)
+    uid = cursor.read_bytes(cursor.read_bytes(1)[0])
+    health, flags = cursor.unpack(STATE_REST)
+    cursor.check_length(start, length, cursor.offset - start)
     return m.SetLbState(
-        number, uid, health, bool(flags & PUSH), bool(flags & TRUST), bool(flags & NO_CHANGE), c.nested
+        message_id,
+        uid,
+        health,
+        bool(flags & PUSH),
+        bool(flags & TRUST),
+        bool(flags & NO_CHANGE),
+        cursor.inclusive_lengths,
     )
 
 
-def read_member_state(c, number, begin, length):
+def read_member_state(cursor, message_id, start, length):
     """Members' states."""
-    flags, count = c.take(struct.Struct("!BH"))
-    groups = read_lists(c, count, Part.STATES_OF_GROUP, read_state)
-    c.ends(begin, length, 7)
-    return m.SetMemberState(number, bool(flags & LB_FLAG), groups, c.nested)
+    flags, count = cursor.unpack(struct.Struct("!BH"))
+    groups = read_groups_with_items(cursor, count, ComponentType.STATES_OF_GROUP, read_state_entry)
+    cursor.check_length(start, length, 7)
+    return m.SetMemberState(message_id, bool(flags & LB_FLAG), groups, cursor.inclusive_lengths)
 
 
-def read_reply(kind):
+def read_reply(message_type):
     """A reader of replies of this kind."""
 
-    def read(c, number, begin, length):
-        (code,) = c.bytes(1)
-        c.ends(begin, length, 5)
-        return m.Reply(number, kind, code, c.nested)
+    def read(cursor, message_id, start, length):
+        (code,) = cursor.read_bytes(1)
+        cursor.check_length(start, length, 5)
+        return m.Reply(message_id, message_type, code, cursor.inclusive_lengths)
 
     return read
 
 
-READ = {
-    Kind.REGISTER: read_register,
-    Kind.DEREGISTER: read_deregister,
-    Kind.GET_WEIGHTS: read_get,
-    Kind.WEIGHTS: read_weights,
-    Kind.SEND_WEIGHTS: read_send,
-    Kind.SET_LB_STATE: read_lb_state,
-    Kind.SET_MEMBER_STATE: read_member_state,
+READERS = {
+    MessageType.REGISTER: read_register,
+    MessageType.DEREGISTER: read_deregister,
+    MessageType.GET_WEIGHTS: read_get_weights,
+    MessageType.WEIGHTS: read_weights_reply,
+    MessageType.SEND_WEIGHTS: read_send_weights,
+    MessageType.SET_LB_STATE: read_lb_state,
+    MessageType.SET_MEMBER_STATE: read_member_state,
 } | {
-    kind: read_reply(kind)
-    for kind in (
-        Kind.REGISTER_REPLY,
-        Kind.DEREGISTER_REPLY,
-        Kind.SET_LB_STATE_REPLY,
-        Kind.SET_MEMBER_STATE_REPLY,
+    message_type: read_reply(message_type)
+    for message_type in (
+        MessageType.REGISTER_REPLY,
+        MessageType.DEREGISTER_REPLY,
+        MessageType.SET_LB_STATE_REPLY,
+        MessageType.SET_MEMBER_STATE_REPLY,
     )
 }
 
 
-def component(kind, own, inner, nested):
+def encode_component(component_type, fields, nested, inclusive_lengths):
     """A component as bytes. own: its fields behind the length; inner: components nested in it, as bytes."""
-    length = COMPONENT_HEAD.size + len(own) + (len(inner) if nested else 0)
+    length = COMPONENT_HEAD.size + len(fields) + (len(nested) if inclusive_lengths else 0)
     if length > MAX_LENGTH:
-        raise CannotEncode(f"a component of {length} bytes, where 65535 are the most")
-    return COMPONENT_HEAD.pack(kind, length) + own + inner
+        raise EncodeError(f"a component of {length} bytes, where 65535 are the most")
+    return COMPONENT_HEAD.pack(component_type, length) + fields + nested
 
 
-def member(it):
+def encode_member(value):
     """A member as bytes, which also identify it within a group."""
-    if len(it.label) > 255:
-        raise CannotEncode("a label over 255 bytes")
-    size = MEMBER.size + len(it.label)
-    return MEMBER.pack(Part.MEMBER, size, it.protocol, it.port, it.address, len(it.label)) + it.label
+    if len(value.label) > 255:
+        raise EncodeError("a label over 255 bytes")
+    size = MEMBER.size + len(value.label)
+    return (
+        MEMBER.pack(ComponentType.MEMBER, size, value.protocol, value.port, value.address, len(value.label))
+        + value.label
+    )
 
 
-def group(it):
+def encode_group_name(value):
     """A group's name as bytes."""
-    if len(it.uid) > 255 or len(it.name) > 255:
-        raise CannotEncode("a name over 255 bytes")
-    own = bytes([len(it.uid)]) + it.uid + bytes([len(it.name)]) + it.name
-    return component(Part.GROUP, own, b"", False)
+    if len(value.uid) > 255 or len(value.name) > 255:
+        raise EncodeError("a name over 255 bytes")
+    fields = bytes([len(value.uid)]) + value.uid + bytes([len(value.name)]) + value.name
+    return encode_component(ComponentType.GROUP, fields, b"", False)
 
 
-def entry(of, state, flags, weight, nested):
+def encode_weight_entry(encoded_member, state, flags, weight, inclusive_lengths):
     """A weight entry as bytes; of: the member's bytes."""
-    length = ENTRY.size + (len(of) if nested else 0)
-    return COMPONENT_HEAD.pack(Part.WEIGHT_ENTRY, length) + of + ENTRY_REST.pack(state, flags, weight)
+    length = ENTRY.size + (len(encoded_member) if inclusive_lengths else 0)
+    return (
+        COMPONENT_HEAD.pack(ComponentType.WEIGHT_ENTRY, length)
+        + encoded_member
+        + ENTRY_REST.pack(state, flags, weight)
+    )
 
 
-def state_entry(it, nested):
+def encode_state_entry(value, inclusive_lengths):
     """A member's state as bytes."""
-    of = member(it.member)
-    length = STATE.size + (len(of) if nested else 0)
+    encoded_member = encode_member(value.member)
+    length = STATE.size + (len(encoded_member) if inclusive_lengths else 0)
     return (
-        COMPONENT_HEAD.pack(Part.STATE_ENTRY, length) + of + STATE_REST.pack(it.state, QUIESCED * it.quiesced)
+        COMPONENT_HEAD.pack(ComponentType.STATE_ENTRY, length)
+        + encoded_member
+        + STATE_REST.pack(value.state, STATE_QUIESCED * value.quiesced)
     )
 
 
-def group_component(kind, name, count, items, nested):
+def encode_group_component(component_type, name, count, items, inclusive_lengths):
     """A group with its items, given as bytes and their count."""
     if count > MAX_LENGTH:
-        raise CannotEncode("over 65535 members")
-    return component(kind, COUNT.pack(count), group(name) + items, nested)
+        raise EncodeError("over 65535 members")
+    return encode_component(
+        component_type, COUNT.pack(count), encode_group_name(name) + items, inclusive_lengths
+    )
 
 
-def members(groups, nested):
+def encode_member_groups(groups, inclusive_lengths):
     """Groups of members as bytes."""
     return [
-        group_component(Part.MEMBERS_OF_GROUP, name, len(items), b"".join(map(member, items)), nested)
+        encode_group_component(
+            ComponentType.MEMBERS_OF_GROUP,
+            name,
+            len(items),
+            b"".join(map(encode_member, items)),
+            inclusive_lengths,
+        )
         for name, items in groups
     ]
 
 
-def entries(groups, nested):
+def encode_weight_groups(groups, inclusive_lengths):
     """Groups of weight entries as bytes."""
     return [
-        group_component(
-            Part.WEIGHTS_OF_GROUP,
+        encode_group_component(
+            ComponentType.WEIGHTS_OF_GROUP,
             name,
             len(items),
-            b"".join(entry(member(x.member), x.state, x.flags, x.weight, nested) for x in items),
-            nested,
+            b"".join(
+                encode_weight_entry(encode_member(x.member), x.state, x.flags, x.weight, inclusive_lengths)
+                for x in items
+            ),
+            inclusive_lengths,
         )
         for name, items in groups
     ]
 
 
-def frame(number, kind, own, inner, nested):
+def frame(message_id, message_type, fields, nested, inclusive_lengths):
     """A whole message as bytes. own, inner: as in component; inner: a list."""
-    body = component(kind, own, b"".join(inner), nested)
-    return HEADER.pack(Part.HEADER, HEADER.size, VERSION, HEADER.size + len(body), number) + body
+    body = encode_component(message_type, fields, b"".join(nested), inclusive_lengths)
+    return HEADER.pack(ComponentType.HEADER, HEADER.size, VERSION, HEADER.size + len(body), message_id) + body
 
 
-def weights(number, code, interval, groups, nested):
+def encode_weights_reply(message_id, code, interval, groups, inclusive_lengths):
     """Get Weights' reply. groups: as bytes, made by group_component."""
-    return frame(number, Kind.WEIGHTS, struct.pack("!BHH", code, interval, len(groups)), groups, nested)
+    return frame(
+        message_id,
+        MessageType.WEIGHTS,
+        struct.pack("!BHH", code, interval, len(groups)),
+        groups,
+        inclusive_lengths,
+    )
 
 
-def send_weights(number, groups, nested):
+def encode_send_weights(message_id, groups, inclusive_lengths):
     """Send Weights. groups: as bytes, made by group_component."""
-    return frame(number, Kind.SEND_WEIGHTS, COUNT.pack(len(groups)), groups, nested)
+    return frame(message_id, MessageType.SEND_WEIGHTS, COUNT.pack(len(groups)), groups, inclusive_lengths)
 
 
 def encode(message):
     """A message as bytes; raises CannotEncode."""
-    nested = message.nested
+    inclusive_lengths = message.inclusive_lengths
     match message:
         case m.Reply():
-            return frame(message.id, message.kind, bytes([message.code]), [], nested)
+            return frame(message.id, message.message_type, bytes([message.code]), [], inclusive_lengths)
         case m.Register():
-            own = struct.pack("!BH", LB_FLAG * message.lb, len(message.groups))
-            return frame(message.id, Kind.REGISTER, own, members(message.groups, nested), nested)
+            fields = struct.pack("!BH", LB_FLAG * message.lb, len(message.groups))
+            return frame(
+                message.id,
+                MessageType.REGISTER,
+                fields,
+                encode_member_groups(message.groups, inclusive_lengths),
+                inclusive_lengths,
+            )
         case m.Deregister():
-            own = struct.pack("!BBH", LB_FLAG * message.lb, message.reason, len(message.groups))
-            return frame(message.id, Kind.DEREGISTER, own, members(message.groups, nested), nested)
+            fields = struct.pack("!BBH", LB_FLAG * message.lb, message.reason, len(message.groups))
+            return frame(
+                message.id,
+                MessageType.DEREGISTER,
+                fields,
+                encode_member_groups(message.groups, inclusive_lengths),
+                inclusive_lengths,
+            )
         case m.GetWeights():
-            own = COUNT.pack(len(message.groups))
-            return frame(message.id, Kind.GET_WEIGHTS, own, [group(g) for g in message.groups], nested)
+            fields = COUNT.pack(len(message.groups))
+            return frame(
+                message.id,
+                MessageType.GET_WEIGHTS,
+                fields,
+                [encode_group_name(g) for g in message.groups],
+                inclusive_lengths,
+            )
         case m.Weights():
-            groups = entries(message.groups, nested)
-            return weights(message.id, message.code, message.interval, groups, nested)
+            groups = encode_weight_groups(message.groups, inclusive_lengths)
+            return encode_weights_reply(message.id, message.code, message.interval, groups, inclusive_lengths)
         case m.SendWeights():
-            return send_weights(message.id, entries(message.groups, nested), nested)
+            return encode_send_weights(
+                message.id, encode_weight_groups(message.groups, inclusive_lengths), inclusive_lengths
+            )
         case m.SetLbState():
             flags = PUSH * message.push | TRUST * message.trust | NO_CHANGE * message.no_change
-            own = bytes([len(message.uid)]) + message.uid + bytes([message.health, flags])
-            return frame(message.id, Kind.SET_LB_STATE, own, [], nested)
+            fields = bytes([len(message.uid)]) + message.uid + bytes([message.health, flags])
+            return frame(message.id, MessageType.SET_LB_STATE, fields, [], inclusive_lengths)
         case m.SetMemberState():
             groups = [
-                group_component(
-                    Part.STATES_OF_GROUP,
+                encode_group_component(
+                    ComponentType.STATES_OF_GROUP,
                     name,
                     len(items),
-                    b"".join(state_entry(x, nested) for x in items),
-                    nested,
+                    b"".join(encode_state_entry(x, inclusive_lengths) for x in items),
+                    inclusive_lengths,
                 )
                 for name, items in message.groups
             ]
-            own = struct.pack("!BH", LB_FLAG * message.lb, len(groups))
-            return frame(message.id, Kind.SET_MEMBER_STATE, own, groups, nested)
+            fields = struct.pack("!BH", LB_FLAG * message.lb, len(groups))
+            return frame(message.id, MessageType.SET_MEMBER_STATE, fields, groups, inclusive_lengths)
     raise TypeError(f"no message: {message!r}")
 
 
-REPLIES = {
-    Kind.REGISTER: Kind.REGISTER_REPLY,
-    Kind.DEREGISTER: Kind.DEREGISTER_REPLY,
-    Kind.SET_LB_STATE: Kind.SET_LB_STATE_REPLY,
-    Kind.SET_MEMBER_STATE: Kind.SET_MEMBER_STATE_REPLY,
+REPLY_TYPES = {
+    MessageType.REGISTER: MessageType.REGISTER_REPLY,
+    MessageType.DEREGISTER: MessageType.DEREGISTER_REPLY,
+    MessageType.SET_LB_STATE: MessageType.SET_LB_STATE_REPLY,
+    MessageType.SET_MEMBER_STATE: MessageType.SET_MEMBER_STATE_REPLY,
 }
 
 
-def not_understood(broken):
+def encode_not_understood_reply(invalid):
     """The reply to an invalid message, of its kind; b"" if it has no id."""
-    if broken.id is None:
+    if invalid.id is None:
         return b""
-    if broken.kind == Kind.GET_WEIGHTS:
-        return weights(broken.id, Code.NOT_UNDERSTOOD, 0, [], False)
-    kind = REPLIES.get(broken.kind, Kind.REGISTER_REPLY)
-    return encode(m.Reply(broken.id, kind, Code.NOT_UNDERSTOOD))
+    if invalid.message_type == MessageType.GET_WEIGHTS:
+        return encode_weights_reply(invalid.id, ResponseCode.NOT_UNDERSTOOD, 0, [], False)
+    message_type = REPLY_TYPES.get(invalid.message_type, MessageType.REGISTER_REPLY)
+    return encode(m.Reply(invalid.id, message_type, ResponseCode.NOT_UNDERSTOOD))
--- a/garnetpaddle/sasp/constants.py
+++ b/garnetpaddle/sasp/constants.py
@@ -12,7 +12,7 @@
 PORT = 3860  # registered for SASP
 
 
-class Kind(IntEnum):
+class MessageType(IntEnum):
     """Types of messages, section 6."""
 
     REGISTER, REGISTER_REPLY = 0x1010, 0x1015
@@ -23,7 +23,7 @@
     SET_MEMBER_STATE, SET_MEMBER_STATE_REPLY = 0x1060, 0x1065
 
 
-class Part(IntEnum):
+class ComponentType(IntEnum):
     """Types of components, section 5."""
 
     HEADER = 0x2010
@@ -31,7 +31,7 @@
     MEMBERS_OF_GROUP, WEIGHTS_OF_GROUP, STATES_OF_GROUP = 0x4010, 0x4011, 0x4012
 
 
-class Code(IntEnum):
+class ResponseCode(IntEnum):
     """Response codes, with each reply's section."""
 
     SUCCESS = 0x00
@@ -55,9 +55,9 @@
 REASON_LEARNED = 0x01  # of a deregistration: learned and purposeful; 0: no reason
 PUSH, TRUST, NO_CHANGE = 0x01, 0x02, 0x04  # flags of Set LB State
 CONTACT, QUIESCE, REGISTERED, CONFIDENT = 0x01, 0x02, 0x04, 0x08  # flags of a weight entry
-QUIESCED = 0x01  # flag of a member state entry
+STATE_QUIESCED = 0x01  # flag of a member state entry
 
-TABLE = (
+FIELD_SOURCES = (
     # what, section, how sure
     ("header: type 0x2010, length 13, version, message length of 4 bytes, message id of 4", "5.1", "shape"),
     ("components begin with a type and a length of 2 bytes each, the length counting these 4", "5", "memory"),
--- a/garnetpaddle/sasp/messages.py
+++ b/garnetpaddle/sasp/messages.py
@@ -4,17 +4,17 @@
 import ipaddress
 from dataclasses import dataclass, field
 
-from garnetpaddle.sasp.constants import Code, Kind
+from garnetpaddle.sasp.constants import MessageType, ResponseCode
 
-MAPPED = bytes(10) + b"\xff\xff"
+IPV4_MAPPED_PREFIX = bytes(10) + b"\xff\xff"
 
 
 @functools.lru_cache(maxsize=16_384)
-def host_of(address):
+def host_from_bytes(address):
     """16 bytes as the list writes them; followers by hundreds name the same tasks."""
     ip = ipaddress.IPv6Address(address)
-    small = address[:12] == bytes(12) and address[12:15] != bytes(3)
-    if ip.ipv4_mapped or small:
+    ipv4_compatible = address[:12] == bytes(12) and address[12:15] != bytes(3)
+    if ip.ipv4_mapped or ipv4_compatible:
         return str(ipaddress.IPv4Address(address[12:]))
     return str(ip)
 
@@ -32,13 +32,13 @@
     def of(cls, host, port, label="", protocol=6):
         """host: an IPv4 or IPv6 address in text; raises ValueError."""
         ip = ipaddress.ip_address(host)
-        packed = MAPPED + ip.packed if ip.version == 4 else ip.packed
+        packed = IPV4_MAPPED_PREFIX + ip.packed if ip.version == 4 else ip.packed
         return cls(protocol, port, packed, label.encode())
 
     @property
-    def place(self):
+    def endpoint(self):
         """(host, port) as the list writes it."""
-        return host_of(self.address), self.port
+        return host_from_bytes(self.address), self.port
 
 
 @dataclass(frozen=True, slots=True)
@@ -68,7 +68,7 @@
     quiesced: bool
 
 
-Members = tuple[tuple[GroupName, tuple[MemberData, ...]], ...]
+MemberGroups = tuple[tuple[GroupName, tuple[MemberData, ...]], ...]
 
 
 @dataclass(frozen=True, slots=True)
@@ -77,8 +77,10 @@
 
     id: int
     lb: bool
-    groups: Members
-    nested: bool = field(default=False, compare=False)  # its lengths count what is nested; see constants
+    groups: MemberGroups
+    inclusive_lengths: bool = field(
+        default=False, compare=False
+    )  # its lengths count what is nested; see constants
 
 
 @dataclass(frozen=True, slots=True)
@@ -88,8 +90,8 @@
     id: int
     lb: bool
     reason: int
-    groups: Members
-    nested: bool = field(default=False, compare=False)
+    groups: MemberGroups
+    inclusive_lengths: bool = field(default=False, compare=False)
 
 
 @dataclass(frozen=True, slots=True)
@@ -98,7 +100,7 @@
 
     id: int
     groups: tuple[GroupName, ...]
-    nested: bool = field(default=False, compare=False)
+    inclusive_lengths: bool = field(default=False, compare=False)
 
 
 @dataclass(frozen=True, slots=True)
@@ -111,7 +113,7 @@
     push: bool
     trust: bool
     no_change: bool
-    nested: bool = field(default=False, compare=False)
+    inclusive_lengths: bool = field(default=False, compare=False)
 
 
 @dataclass(frozen=True, slots=True)
@@ -121,7 +123,7 @@
     id: int
     lb: bool
     groups: tuple[tuple[GroupName, tuple[StateEntry, ...]], ...]
-    nested: bool = field(default=False, compare=False)
+    inclusive_lengths: bool = field(default=False, compare=False)
 
 
 @dataclass(frozen=True, slots=True)
@@ -129,10 +131,10 @@
     """The reply to Get Weights."""
 
     id: int
-    code: Code | int
+    code: ResponseCode | int
     interval: int  # s
     groups: tuple[tuple[GroupName, tuple[WeightEntry, ...]], ...]
-    nested: bool = field(default=False, compare=False)
+    inclusive_lengths: bool = field(default=False, compare=False)
 
 
 @dataclass(frozen=True, slots=True)
@@ -141,7 +143,7 @@
 
     id: int
     groups: tuple[tuple[GroupName, tuple[WeightEntry, ...]], ...]
-    nested: bool = field(default=False, compare=False)
+    inclusive_lengths: bool = field(default=False, compare=False)
 
 
 @dataclass(frozen=True, slots=True)
@@ -149,9 +151,9 @@
     """A reply that holds a code alone. kind: Kind.*_REPLY but WEIGHTS."""
 
     id: int
-    kind: Kind
-    code: Code | int
-    nested: bool = field(default=False, compare=False)
+    message_type: MessageType
+    code: ResponseCode | int
+    inclusive_lengths: bool = field(default=False, compare=False)
 
 
 Message = Register | Deregister | GetWeights | SetLbState | SetMemberState | Weights | SendWeights | Reply
--- a/garnetpaddle/sasp/session.py
+++ b/garnetpaddle/sasp/session.py
@@ -4,18 +4,18 @@
 from typing import NamedTuple
 
 from garnetpaddle.advice import Member
-from garnetpaddle.advice.access import refusal
+from garnetpaddle.advice.access import refusal_reason
 from garnetpaddle.advice.session import AdviceSession, FollowedGroup
 from garnetpaddle.advice.session_events import NotifySession, log_line
 from garnetpaddle.sasp import codec
 from garnetpaddle.sasp import messages as m
-from garnetpaddle.sasp.constants import CONFIDENT, CONTACT, QUIESCE, REGISTERED, Code, Kind
+from garnetpaddle.sasp.constants import CONFIDENT, CONTACT, QUIESCE, REGISTERED, MessageType, ResponseCode
 
-TCP, ANY = 6, 0  # protocols of a member
-POLLS_PER_GRACE = 3  # one to hear of a drain, one to show that it was taken, one to spare
+TCP, ANY_PROTOCOL = 6, 0  # protocols of a member
+POLLS_PER_GRACE_PERIOD = 3  # one to hear of a drain, one to show that it was taken, one to spare
 SECOND = 10_000
-SHORTEST_INTERVAL = 1  # s: between polls while there are no weights yet
-MAX_SERIAL = 0xFFFF_FFFF
+MIN_POLL_INTERVAL = 1  # s: between polls while there are no weights yet
+MAX_MESSAGE_ID = 0xFFFF_FFFF
 
 
 @dataclass(slots=True)
@@ -30,11 +30,11 @@
 
     generation: int
     version: tuple[int, ...]
-    nested: bool
+    inclusive_lengths: bool
 
 
 @dataclass(frozen=True, slots=True)
-class PollAnswer:
+class PollReply:
     """The weights that a poll was answered with, and their groups as bytes."""
 
     state: PollState
@@ -48,10 +48,10 @@
 
     count: int
     data: bytes
-    keep_alive: tuple
+    held_references: tuple
 
 
-class Refused(Exception):
+class RequestRefused(Exception):
     """A request is refused: the code to answer with, and the reason for the log."""
 
     def __init__(self, code, why):
@@ -63,60 +63,68 @@
     """interval: tenths of a ms between polls as the operator wants them; max_members: of one follower; host:
     the peer's address, since a member may speak for itself alone."""
 
-    def __init__(self, registry, connection, pace, interval, max_members, host, now):
-        super().__init__(registry, connection, pace, now)
-        self.interval = max(SHORTEST_INTERVAL, min(interval, registry.grace // POLLS_PER_GRACE) // SECOND)
-        self.max_members, self.host = max_members, host
-        self.trust = self.no_change = self.nested = False
-        self.serial, self.polled = 0, {}  # polled: group names -> PollAnswer
+    def __init__(self, registry, connection, min_update_interval, interval, max_members, peer_host, now):
+        super().__init__(registry, connection, min_update_interval, now)
+        self.poll_interval = max(
+            MIN_POLL_INTERVAL, min(interval, registry.grace_period // POLLS_PER_GRACE_PERIOD) // SECOND
+        )
+        self.max_members, self.peer_host = max_members, peer_host
+        self.trust = self.no_change = self.inclusive_lengths = False
+        self.last_message_id, self.poll_replies = 0, {}  # polled: group names -> PollAnswer
 
     def handle_message(self, now, message, out):
         """Answers a request."""
         if isinstance(message, codec.InvalidMessage):
-            if data := codec.not_understood(message):
+            if data := codec.encode_not_understood_reply(message):
                 self.write(data, out)
             out.append(log_line("message_unreadable", why=message.why))
-            if message.over:
+            if message.fatal:
                 self.close(now, "unreadable", out)
             return
-        self.nested = self.nested or message.nested  # a peer keeps to one form; short messages show none
+        self.inclusive_lengths = (
+            self.inclusive_lengths or message.inclusive_lengths
+        )  # a peer keeps to one form; short messages show none
         try:
-            answer = self.answer(now, message, out)
-        except Refused as refused:
+            reply = self.handle_request(now, message, out)
+        except RequestRefused as refusal:
             out.append(
                 log_line(
                     "follower_refused",
                     warning=True,
                     follower=self.follower.name if self.follower else "",
-                    code=f"0x{refused.code:02x}",
-                    why=refused.why,
+                    code=f"0x{refusal.code:02x}",
+                    why=refusal.why,
                 )
             )
-            answer = self.refused(message, refused.code)
-        except codec.CannotEncode as error:
+            reply = self.refusal_reply(message, refusal.code)
+        except codec.EncodeError as error:
             self.close(now, f"an answer that the wire has no room for: {error}", out)
             return
-        if answer:
-            self.write(answer, out)
+        if reply:
+            self.write(reply, out)
             if isinstance(message, m.GetWeights) and self.follower and self.delivery:
                 self.record_poll(now)
 
-    def refused(self, message, code):
+    def refusal_reply(self, message, code):
         """The answer to a refused request."""
         if isinstance(message, m.GetWeights):
-            return codec.weights(message.id, code, self.interval, [], self.nested)
-        return codec.encode(m.Reply(message.id, codec.REPLIES[self.request_kind(message)], code, self.nested))
+            return codec.encode_weights_reply(
+                message.id, code, self.poll_interval, [], self.inclusive_lengths
+            )
+        return codec.encode(
+            m.Reply(message.id, codec.REPLY_TYPES[self.request_type(message)], code, self.inclusive_lengths)
+        )
 
-    def request_kind(self, message):
+    def request_type(self, message):
         """The wire's type of a request."""
         return {
-            m.Register: Kind.REGISTER,
-            m.Deregister: Kind.DEREGISTER,
-            m.SetLbState: Kind.SET_LB_STATE,
-            m.SetMemberState: Kind.SET_MEMBER_STATE,
+            m.Register: MessageType.REGISTER,
+            m.Deregister: MessageType.DEREGISTER,
+            m.SetLbState: MessageType.SET_LB_STATE,
+            m.SetMemberState: MessageType.SET_MEMBER_STATE,
         }[type(message)]
 
-    def answer(self, now, message, out):
+    def handle_request(self, now, message, out):
         """Carries out a request; returns the answer as bytes, or raises Refused."""
         match message:
             case m.Register(lb=True):
@@ -128,15 +136,20 @@
             case m.Deregister():
                 self.deregister_self(message, out)
             case m.GetWeights():
-                return self.answer_poll(now, message)
+                return self.reply_to_poll(now, message)
             case m.SetLbState():
-                self.set_state(message, out)
+                self.set_lb_state(message, out)
             case m.SetMemberState():
-                self.set_members(message, out)
+                self.set_member_states(message, out)
             case _:
-                raise Refused(Code.NOT_UNDERSTOOD, "a message that only a manager sends")
+                raise RequestRefused(ResponseCode.NOT_UNDERSTOOD, "a message that only a manager sends")
         return codec.encode(
-            m.Reply(message.id, codec.REPLIES[self.request_kind(message)], Code.SUCCESS, self.nested)
+            m.Reply(
+                message.id,
+                codec.REPLY_TYPES[self.request_type(message)],
+                ResponseCode.SUCCESS,
+                self.inclusive_lengths,
+            )
         )
 
     # Registration, section 6.1
@@ -144,29 +157,31 @@
     def register(self, now, message, out):
         """A balancer registers members: all of them or none."""
         if not message.groups:
-            raise Refused(Code.INVALID_GROUP, "no group")
+            raise RequestRefused(ResponseCode.INVALID_GROUP, "no group")
         follower, added = None, {}
         for name, members in message.groups:
             follower = self.follower_of(name)
             if self.follower and follower is not self.follower:
-                raise Refused(Code.NOT_ACCEPTED, "a group of another balancer")
+                raise RequestRefused(ResponseCode.NOT_ACCEPTED, "a group of another balancer")
             group = added.get(name.name) or self.granted_group(follower, name)
             added[name.name] = group = replace(
                 group, members=dict(group.members), drained=dict(group.drained)
             )
             self.add_members(group, members)
         if len({name.uid for name, _ in message.groups}) > 1:
-            raise Refused(Code.NOT_ACCEPTED, "groups of two balancers")
-        others = [group for key, group in self.groups.items() if key not in added]
-        count = sum(len(group.members) for group in (*added.values(), *others))
+            raise RequestRefused(ResponseCode.NOT_ACCEPTED, "groups of two balancers")
+        unchanged_groups = [group for key, group in self.groups.items() if key not in added]
+        count = sum(len(group.members) for group in (*added.values(), *unchanged_groups))
         if count > self.max_members:
-            raise Refused(Code.NOT_ACCEPTED, f"{count} members, {self.max_members} are the most")
-        why = self.registry.leases.refusal(now, follower.name, self.connection, self.reads_answers)
+            raise RequestRefused(
+                ResponseCode.NOT_ACCEPTED, f"{count} members, {self.max_members} are the most"
+            )
+        why = self.registry.leases.refusal_reason(now, follower.name, self.connection, self.has_read_reply)
         if why:
-            raise Refused(Code.NOT_ACCEPTED, why)
-        former = self.acquire_lease(now, follower, out)
-        if former is not None:
-            out.append(NotifySession(former))
+            raise RequestRefused(ResponseCode.NOT_ACCEPTED, why)
+        previous = self.acquire_lease(now, follower, out)
+        if previous is not None:
+            out.append(NotifySession(previous))
         for group in added.values():
             group.version = self.registry.next_version()
         self.groups |= added
@@ -174,12 +189,12 @@
     def follower_of(self, name):
         """The follower that a group's name belongs to; raises Refused."""
         if not name.uid:
-            raise Refused(Code.INVALID_LB_UID_SIZE, "no LB UID")
+            raise RequestRefused(ResponseCode.INVALID_LB_UID_SIZE, "no LB UID")
         if not name.name:
-            raise Refused(Code.INVALID_GROUP_NAME_SIZE, "no group name")
+            raise RequestRefused(ResponseCode.INVALID_GROUP_NAME_SIZE, "no group name")
         follower = self.registry.followers.get(name.uid)
         if follower is None:
-            raise Refused(Code.NOT_ACCEPTED, f"no follower has the LB UID {name.uid[:40]!r}")
+            raise RequestRefused(ResponseCode.NOT_ACCEPTED, f"no follower has the LB UID {name.uid[:40]!r}")
         return follower
 
     def granted_group(self, follower, name):
@@ -188,65 +203,69 @@
         text = name.name.decode("utf-8", "replace")
         route = self.registry.groups.get(text)
         if route is None or text not in follower.groups:
-            raise Refused(Code.INVALID_GROUP, f"no group {text[:40]!r} of {follower.name}")
+            raise RequestRefused(ResponseCode.INVALID_GROUP, f"no group {text[:40]!r} of {follower.name}")
         level = self.registry.level(follower.name, route)
-        why = refusal(route.effect, follower.retries, level, standing=group is not None)
+        why = refusal_reason(route.effect, follower.retries, level, already_granted=group is not None)
         if why:
-            raise Refused(Code.NOT_ACCEPTED, f"{text[:40]}: {why}")
+            raise RequestRefused(ResponseCode.NOT_ACCEPTED, f"{text[:40]}: {why}")
         return group or BalancerGroup(route, name=name)
 
     def add_members(self, group, members):
         """Adds members to a group; raises Refused."""
         for data in members:
-            key = codec.member(data)
+            key = codec.encode_member(data)
             if key in group.members:
                 known = (
                     key in self.groups.get(group.name.name, group).members and group.name.name in self.groups
                 )
-                code = Code.MEMBER_REGISTERED if known else Code.DUPLICATE_MEMBER
-                raise Refused(code, f"member {data.place} twice")
-            group.members[key] = Member(key, data.place, self.task_at(data))
+                code = ResponseCode.MEMBER_REGISTERED if known else ResponseCode.DUPLICATE_MEMBER
+                raise RequestRefused(code, f"member {data.endpoint} twice")
+            group.members[key] = Member(key, data.endpoint, self.task_at(data))
 
     def task_at(self, data):
         """The task at a member's address; raises Refused."""
         snapshot = self.registry.snapshot
-        task = snapshot.tasks_by_address.get(data.place)
-        if data.protocol not in (TCP, ANY) or task is None:
-            raise Refused(Code.NOT_ACCEPTED, f"member {data.place} is no task of the list")
+        task = snapshot.tasks_by_address.get(data.endpoint)
+        if data.protocol not in (TCP, ANY_PROTOCOL) or task is None:
+            raise RequestRefused(ResponseCode.NOT_ACCEPTED, f"member {data.endpoint} is no task of the list")
         label = data.label.decode("utf-8", "replace")
         if label != task and label in snapshot.tasks:
-            raise Refused(Code.NOT_ACCEPTED, f"member {data.place} is {task}, its label names {label}")
+            raise RequestRefused(
+                ResponseCode.NOT_ACCEPTED, f"member {data.endpoint} is {task}, its label names {label}"
+            )
         return task
 
     # Members for themselves
 
-    def balancer_session(self, name, code):
+    def trusting_session(self, name, code):
         """The session of the balancer that a group belongs to; raises Refused, with this code if none."""
         self.follower_of(name)
         session = self.registry.session_of(name.uid)
         if not isinstance(session, Session):
-            raise Refused(code, "its balancer has not contacted this manager")
+            raise RequestRefused(code, "its balancer has not contacted this manager")
         if not session.trust:
-            raise Refused(Code.NOT_TRUSTED, "its balancer does not trust members")
+            raise RequestRefused(ResponseCode.NOT_TRUSTED, "its balancer does not trust members")
         if name.name not in session.groups:
-            raise Refused(Code.UNKNOWN_GROUP, f"no group {name.name[:40]!r}")
+            raise RequestRefused(ResponseCode.UNKNOWN_GROUP, f"no group {name.name[:40]!r}")
         return session
 
     def check_address(self, data):
         """Raises Refused if a member speaks for another address."""
-        if data.place[0] != self.host:
-            raise Refused(Code.NOT_ACCEPTED, f"member {data.place} is not at the sender's address")
+        if data.endpoint[0] != self.peer_host:
+            raise RequestRefused(
+                ResponseCode.NOT_ACCEPTED, f"member {data.endpoint} is not at the sender's address"
+            )
 
     def register_self(self, message, out):
         """A member registers itself in balancers' groups."""
         added = []
         for name, members in message.groups:
-            session = self.balancer_session(name, Code.LB_UNKNOWN_YET)
+            session = self.trusting_session(name, ResponseCode.LB_UNKNOWN_YET)
             for data in members:
                 self.check_address(data)
             group = session.groups[name.name]
             copy = replace(group, members=dict(group.members))
-            for key in map(codec.member, members):  # one that had left comes back
+            for key in map(codec.encode_member, members):  # one that had left comes back
                 if key in copy.members and not copy.members[key].registered:
                     del copy.members[key]
             session.add_members(copy, members)
@@ -254,7 +273,7 @@
                 len(copy.members) - len(group.members) + sum(len(h.members) for h in session.groups.values())
                 > session.max_members
             ):
-                raise Refused(Code.NOT_ACCEPTED, "too many members")
+                raise RequestRefused(ResponseCode.NOT_ACCEPTED, "too many members")
             added.append((session, copy))
         for session, copy in added:
             copy.version = self.registry.next_version()
@@ -263,14 +282,14 @@
 
     def deregister_self(self, message, out):
         """A member takes itself out of balancers' groups."""
-        gone = []
+        removals = []
         for name, members in message.groups:
-            session = self.balancer_session(name, Code.LB_UNKNOWN_YET_DEREGISTER)
+            session = self.trusting_session(name, ResponseCode.LB_UNKNOWN_YET_DEREGISTER)
             group = session.groups[name.name]
             for data in members:
                 self.check_address(data)
-            gone.append((session, group, self.member_keys(group, members)))
-        for session, group, keys in gone:
+            removals.append((session, group, self.member_keys(group, members)))
+        for session, group, keys in removals:
             # It stays as a member that takes nothing: the balancer has to hear of it.
             for key in keys:
                 group.members[key] = replace(group.members[key], quiesced=True, registered=False)
@@ -282,11 +301,11 @@
     def deregister(self, now, message, out):
         """A balancer takes members, groups or everything out."""
         if self.follower is None:
-            raise Refused(Code.UNKNOWN_LB_UID, "nothing is registered on this connection")
+            raise RequestRefused(ResponseCode.UNKNOWN_LB_UID, "nothing is registered on this connection")
         names = [name.name for name, _ in message.groups]
         if len(names) != len(dict.fromkeys(names)):
-            raise Refused(Code.DUPLICATE_IN_REQUEST, "a group twice")
-        gone = (
+            raise RequestRefused(ResponseCode.DUPLICATE_IN_REQUEST, "a group twice")
+        removals = (
             [(group, list(group.members)) for group in self.groups.values()]
             if not names
             else [
@@ -294,14 +313,14 @@
                 for group, members in [(self.own_group(name), members) for name, members in message.groups]
             ]
         )
-        for group, keys in gone:
+        for group, keys in removals:
             for key in keys:
                 task = group.members.pop(key).task
                 group.drained = {k: True for k in group.drained if k[0] != key}
-                told = self.delivery.last_sent.get(group.name.name, {})
-                self.delivery.last_sent[group.name.name] = {k: e for k, e in told.items() if k != key}
+                last_sent = self.delivery.last_sent.get(group.name.name, {})
+                self.delivery.last_sent[group.name.name] = {k: e for k, e in last_sent.items() if k != key}
                 if not any(x.task == task for h in self.groups.values() for x in h.members.values()):
-                    self.delivery.reopened(task)  # the balancer itself has let it go
+                    self.delivery.cancel_drain(task)  # the balancer itself has let it go
             group.version = self.registry.next_version()
         self.groups = {name: group for name, group in self.groups.items() if group.members}
         if not self.groups:
@@ -310,31 +329,39 @@
     def own_group(self, name):
         """The group of this balancer with this name; raises Refused."""
         if name.uid not in (group.name.uid for group in self.groups.values()):
-            raise Refused(Code.UNKNOWN_LB_UID, f"no group of {name.uid[:40]!r} on this connection")
+            raise RequestRefused(
+                ResponseCode.UNKNOWN_LB_UID, f"no group of {name.uid[:40]!r} on this connection"
+            )
         if name.name not in self.groups:
-            raise Refused(Code.UNKNOWN_GROUP, f"no group {name.name[:40]!r}")
+            raise RequestRefused(ResponseCode.UNKNOWN_GROUP, f"no group {name.name[:40]!r}")
         return self.groups[name.name]
 
     def member_keys(self, group, members):
         """The keys of members of a group; raises Refused for one that is not in it, or named twice."""
-        keys = [codec.member(data) for data in members]
+        keys = [codec.encode_member(data) for data in members]
         if len(keys) != len(dict.fromkeys(keys)):
-            raise Refused(Code.DUPLICATE_IN_REQUEST, "a member twice")
+            raise RequestRefused(ResponseCode.DUPLICATE_IN_REQUEST, "a member twice")
         for key, data in zip(keys, members, strict=True):
             if key not in group.members:
-                raise Refused(Code.MEMBER_NOT_REGISTERED, f"no member {data.place}")
+                raise RequestRefused(ResponseCode.MEMBER_NOT_REGISTERED, f"no member {data.endpoint}")
         return keys
 
     # States, sections 6.5 and 6.6
 
-    def set_state(self, message, out):
+    def set_lb_state(self, message, out):
         """A balancer sets how it wants to be served."""
         follower = self.registry.followers.get(message.uid)
         if not message.uid:
-            raise Refused(Code.INVALID_LB_UID_SIZE, "no LB UID")
+            raise RequestRefused(ResponseCode.INVALID_LB_UID_SIZE, "no LB UID")
         if follower is None or self.follower and follower is not self.follower:
-            raise Refused(Code.NOT_ACCEPTED, f"no follower has the LB UID {message.uid[:40]!r}")
-        if (self.pushes, self.trust, self.no_change) != (message.push, message.trust, message.no_change):
+            raise RequestRefused(
+                ResponseCode.NOT_ACCEPTED, f"no follower has the LB UID {message.uid[:40]!r}"
+            )
+        if (self.push_enabled, self.trust, self.no_change) != (
+            message.push,
+            message.trust,
+            message.no_change,
+        ):
             out.append(
                 log_line(
                     "follower_state",
@@ -345,22 +372,22 @@
                     health=message.health,
                 )
             )
-        self.pushes, self.trust, self.no_change = message.push, message.trust, message.no_change
+        self.push_enabled, self.trust, self.no_change = message.push, message.trust, message.no_change
 
-    def set_members(self, message, out):
+    def set_member_states(self, message, out):
         """Members are quiesced or opened, by their balancer or by themselves."""
-        set_to = []
+        changes = []
         for name, states in message.groups:
             if message.lb:
                 session, group = self, self.own_group(name)
             else:
-                session = self.balancer_session(name, Code.NOT_ACCEPTED)
+                session = self.trusting_session(name, ResponseCode.NOT_ACCEPTED)
                 group = session.groups[name.name]
                 for state in states:
                     self.check_address(state.member)
             keys = self.member_keys(group, [state.member for state in states])
-            set_to.append((session, group, list(zip(keys, states, strict=True))))
-        for session, group, pairs in set_to:
+            changes.append((session, group, list(zip(keys, states, strict=True))))
+        for session, group, pairs in changes:
             for key, state in pairs:
                 group.members[key] = replace(group.members[key], quiesced=state.quiesced, state=state.state)
             group.version = self.registry.next_version()
@@ -369,42 +396,48 @@
 
     # Weights, sections 6.3 and 6.4
 
-    def answer_poll(self, now, message):
+    def reply_to_poll(self, now, message):
         """The answer to a request for weights; equal polls of one state share its bytes."""
         if self.follower is None:
-            raise Refused(Code.UNKNOWN_LB_UID, "nothing is registered on this connection")
+            raise RequestRefused(ResponseCode.UNKNOWN_LB_UID, "nothing is registered on this connection")
         names = tuple(name.name for name in message.groups)
         for name in message.groups:
             self.own_group(name)
         table = self.weight_table()
-        state = PollState(table.generation, self.version(), self.nested)
-        answer = self.polled.get(names)
-        if answer is None or answer.state != state:
-            self.note_drains(table)
+        state = PollState(table.generation, self.group_versions(), self.inclusive_lengths)
+        reply = self.poll_replies.get(names)
+        if reply is None or reply.state != state:
+            self.record_drains(table)
             wanted = self.wanted_weights(table)
             wanted = {name: wanted[name] for name in names} if names else wanted
             encoded = [self.encode_group(name, group, table) for name, group in wanted.items() if group]
-            self.polled = {k: v for k, v in self.polled.items() if v.state == state}
-            answer = self.polled[names] = PollAnswer(state, wanted, encoded)
-        nothing_yet = not answer.encoded or not table.number
-        interval = SHORTEST_INTERVAL if nothing_yet else self.interval
-        return codec.weights(message.id, Code.SUCCESS, interval, answer.encoded, self.nested)
+            self.poll_replies = {k: v for k, v in self.poll_replies.items() if v.state == state}
+            reply = self.poll_replies[names] = PollReply(state, wanted, encoded)
+        no_weights_yet = not reply.encoded or not table.number
+        interval = MIN_POLL_INTERVAL if no_weights_yet else self.poll_interval
+        return codec.encode_weights_reply(
+            message.id, ResponseCode.SUCCESS, interval, reply.encoded, self.inclusive_lengths
+        )
 
     def record_poll(self, now):
         """The answer to a poll is an update like any other."""
         table = self.weight_table()
-        state = PollState(table.generation, self.version(), self.nested)
+        state = PollState(table.generation, self.group_versions(), self.inclusive_lengths)
         sent = {}
-        for answer in self.polled.values():
-            if answer.state == state:
-                sent |= answer.wanted
-        drained = [task for task in self.delivery.unsent(table.closed) if self.includes(sent, task, table)]
+        for reply in self.poll_replies.values():
+            if reply.state == state:
+                sent |= reply.wanted
+        drained = [
+            task
+            for task in self.delivery.unsent_drains(table.closed)
+            if self.sent_in_all_groups(sent, task, table)
+        ]
         if sent:
             self.record_update(now, table, sent, drained)
         if sent.keys() == self.groups.keys():
-            self.up_to_date = table.generation, self.version()
+            self.up_to_date_version = table.generation, self.group_versions()
 
-    def includes(self, sent, task, table):
+    def sent_in_all_groups(self, sent, task, table):
         """Whether every group that holds a task was sent."""
         return all(
             name in sent
@@ -414,19 +447,19 @@
 
     def encode_update(self, table, wanted, changed):
         """A Send Weights message with the groups that changed."""
-        self.serial = self.serial % MAX_SERIAL + 1
+        self.last_message_id = self.last_message_id % MAX_MESSAGE_ID + 1
         last_sent = self.delivery.last_sent
         encoded = [
             self.encode_group(name, group, table, last_sent.get(name) if self.no_change else None)
             for name, group in changed.items()
         ]
-        return codec.send_weights(self.serial, encoded, self.nested)
+        return codec.encode_send_weights(self.last_message_id, encoded, self.inclusive_lengths)
 
     def encode_group(self, name, weights, table, last_sent=None):
         """A group with its entries as bytes; only those that differ from `last_sent`, where that is given.
         Groups that share their weights share the bytes too."""
         group = self.groups[name]
-        cache_key = "bytes", id(weights), id(last_sent), self.nested
+        cache_key = "bytes", id(weights), id(last_sent), self.inclusive_lengths
         entries = table.cache.get(cache_key)
         if entries is None:
             changed = weights
@@ -434,23 +467,31 @@
                 changed = {
                     k: weight for k, weight in weights.items() if last_sent.get(k) != weight
                 } or weights
-            entries = self.encode_entries(group, changed, keep_alive=(weights, last_sent))
+            entries = self.encode_entries(group, changed, held_references=(weights, last_sent))
             if weights is table.cache.get((group.member_set.number, True)):
                 table.cache[cache_key] = entries
-        return codec.group_component(
-            codec.Part.WEIGHTS_OF_GROUP, group.name, entries.count, entries.data, self.nested
+        return codec.encode_group_component(
+            codec.ComponentType.WEIGHTS_OF_GROUP,
+            group.name,
+            entries.count,
+            entries.data,
+            self.inclusive_lengths,
         )
 
-    def encode_entries(self, group, weights, keep_alive):
+    def encode_entries(self, group, weights, held_references):
         """The entries of a group's members."""
         items = []
         for key, weight in weights.items():
             member = group.members[key]
-            items.append(codec.entry(key, member.state, flags(weight, member), weight.weight, self.nested))
-        return EncodedEntries(len(items), b"".join(items), keep_alive)
+            items.append(
+                codec.encode_weight_entry(
+                    key, member.state, entry_flags(weight, member), weight.weight, self.inclusive_lengths
+                )
+            )
+        return EncodedEntries(len(items), b"".join(items), held_references)
 
 
-def flags(weight, member):
+def entry_flags(weight, member):
     """The flags of a member's entry."""
     return (
         CONTACT * weight.contact
--- a/tests/fronted.py
+++ b/tests/front_end_harness.py
@@ -28,60 +28,79 @@
 GROUPS = (op.Group("status", "status"), op.Group("scan", "scan"), op.Group("charge", "charge"))
 
 
-def follower(name="lb", rate=10.0, **how):
+def make_follower(name="lb", rate=10.0, **how):
     how.setdefault("groups", ["status", "scan", "charge"])
     how.setdefault("retries", "none")
     return op.Follower(name=name, calls_per_second=rate, **how)
 
 
-def plan(*followers, connections=64, pace=0.2, dfp=(), listen="127.0.0.1:0", **how):
+def make_configuration(*followers, connections=64, pace=0.2, dfp=(), listen="127.0.0.1:0", **how):
     limits = op.Limits(connections=connections, **how)
     sasp = (op.Sasp("sasp", listen, pace, 5.0),)
-    return op.OperatorConfiguration("-", limits, GROUPS, followers or (follower(),), sasp, dfp)
+    return op.OperatorConfiguration("-", limits, GROUPS, followers or (make_follower(),), sasp, dfp)
 
 
-class Addresses:
+class FixedTaskAddresses:
     def __init__(self, tasks):
         self.by_task = {k: ("127.0.0.1", 1_000 + n) for n, k in enumerate(tasks)}
 
 
-class Fronted(Play):
+class FrontEndHarness(Play):
     """Play, with fronts. What followers tell is heard with the next batch; `native` is the relay's table."""
 
-    def __init__(self, plan, tasks="abcdef", restarted=False, **how):
-        self.now, self.fronts, self.coming_in, self.native, self.table = 0, None, [], {}, 0
-        self.given, self.replies, self.out = plan, [], {}
-        self.places = Addresses(tasks)
+    def __init__(self, configuration, tasks="abcdef", restarted=False, **how):
+        self.now, self.front_ends, self.follower_events, self.native_weights, self.native_table = (
+            0,
+            None,
+            [],
+            {},
+            0,
+        )
+        self.configuration, self.platform_replies, self.withdrawn_tasks = configuration, [], {}
+        self.task_addresses = FixedTaskAddresses(tasks)
         super().__init__(tasks, **how)
-        self.fronts = FrontEnds(
-            plan, SETTINGS, self.terms, self.places, lambda: self.now, self.coming_in.append
+        self.front_ends = FrontEnds(
+            configuration,
+            SETTINGS,
+            self.terms,
+            self.task_addresses,
+            lambda: self.now,
+            self.follower_events.append,
         )
         if not restarted:
-            self.fronts.registry.leases.started_at = -1_000_000
-        self.fronts.follow(self.now, [gp.ListHeard("full", tuple(line(t) for t in tasks))], self.all_orders)
+            self.front_ends.registry.leases.started_at = -1_000_000
+        self.front_ends.follow(
+            self.now, [gp.ListHeard("full", tuple(line(t) for t in tasks))], self.all_orders
+        )
 
     def hear(self, *events):
-        events = (*events, *self.coming_in)
-        self.coming_in.clear()
+        events = (*events, *self.follower_events)
+        self.follower_events.clear()
         super().hear(*events)
-        self.all_orders = [*getattr(self, "all_orders", []), *self.last] if not self.fronts else []
+        self.all_orders = [*getattr(self, "all_orders", []), *self.last] if not self.front_ends else []
         ours = gp.Timer | gp.Note | gp.Probe
-        self.replies.append(FrontEnds.platform_orders([o for o in self.last if not isinstance(o, ours)]))
+        self.platform_replies.append(
+            FrontEnds.platform_orders([o for o in self.last if not isinstance(o, ours)])
+        )
         for order in self.last:
             match order:
                 case gp.SetLine():
-                    if order.table != self.table:
-                        self.table, self.native = order.table, {}
-                    self.native.pop(order.task, None)
-                    self.native |= {order.task: order.weight} if order.weight else {}
+                    if order.table != self.native_table:
+                        self.native_table, self.native_weights = order.table, {}
+                    self.native_weights.pop(order.task, None)
+                    self.native_weights |= {order.task: order.weight} if order.weight else {}
                 case gp.Withdraw():
-                    self.out[order.task] = order.out
-        if self.fronts:
-            self.fronts.follow(self.now, events, self.last)
+                    self.withdrawn_tasks[order.task] = order.out
+        if self.front_ends:
+            self.front_ends.follow(self.now, events, self.last)
 
-    def native_ports(self):
+    def native_weights_by_port(self):
         """The relay's table as port -> weight."""
-        return {self.places.by_task[k][1]: w for k, w in self.native.items() if not self.out.get(k)}
+        return {
+            self.task_addresses.by_task[k][1]: w
+            for k, w in self.native_weights.items()
+            if not self.withdrawn_tasks.get(k)
+        }
 
     async def steps(self, seconds, each=None):
         """Time goes by in tenths of a second; the sockets have their turn after each."""
@@ -93,7 +112,7 @@
 
     async def settle(self):
         """Lets machines acknowledge what was written: the system's time for that is not the test's."""
-        manager = self.fronts.manager
+        manager = self.front_ends.manager
         for _ in range(40):
             await asyncio.sleep(0)
             if all(
@@ -105,29 +124,29 @@
             manager.timers.run_due()
 
     def members(self, tasks):
-        return [self.places.by_task[t] for t in tasks]
+        return [self.task_addresses.by_task[t] for t in tasks]
 
     @contextlib.asynccontextmanager
-    async def served(self):
+    async def serving(self):
         """Opens the fronts; gives their addresses."""
-        await self.fronts.open()
-        walking = asyncio.create_task(self.fronts.run())
+        await self.front_ends.open()
+        run_task = asyncio.create_task(self.front_ends.run())
         try:
-            yield self.fronts.addresses
+            yield self.front_ends.addresses
         finally:
-            walking.cancel()
-            self.fronts.close()
+            run_task.cancel()
+            self.front_ends.close()
             with contextlib.suppress(AssertionError):
-                await until(lambda: not self.fronts.manager.connections)
+                await until(lambda: not self.front_ends.manager.connections)
 
 
-def shares(weights):
+def normalized(weights):
     """Weights by port, as parts of their sum."""
     total = sum(weights.values())
     return {port: w / total for port, w in weights.items() if w}
 
 
-def same(told, native):
+def same_shares(told, native_weights):
     """Whether whole numbers by port stand for these weights: ratios within 1%, nothing else above 0."""
-    a, b = shares(told), shares(native)
+    a, b = normalized(told), normalized(native_weights)
     return a.keys() == b.keys() and all(abs(a[p] - b[p]) <= 0.0101 * b[p] for p in b)
--- a/tests/test_dfp.py
+++ b/tests/test_dfp.py
@@ -88,8 +88,8 @@
         spoilt = data[:at] + bytes([data[at] ^ 1]) + data[at + 1 :]
         (got,) = list(codec.MessageDecoder(4096, Key(9, b"key")).feed(spoilt)) or [None]
         assert got is None or isinstance(got, InvalidMessage) or at == 1  # the reserved byte is signed too
-    assert codec.decode(data, Key(9, b"other")).over and codec.decode(data, Key(8, b"key")).over
-    assert codec.decode(codec.encode(Parameters(5)), Key(9, b"key")).over
+    assert codec.decode(data, Key(9, b"other")).fatal and codec.decode(data, Key(8, b"key")).fatal
+    assert codec.decode(codec.encode(Parameters(5)), Key(9, b"key")).fatal
 
 
 HOSTS = st.lists(
@@ -117,14 +117,14 @@
     data = bytes_of(GOLDEN[name][0])
     for at in range(9, len(data)):
         (got,) = codec.MessageDecoder(4096).feed(data[:4] + at.to_bytes(4, "big") + data[8:at])
-        assert isinstance(got, InvalidMessage) and not got.over
+        assert isinstance(got, InvalidMessage) and not got.fatal
     for at in range(8, len(data)):
         for value in (0, 0x7F, 0xFF):
             list(codec.MessageDecoder(4096).feed(data[:at] + bytes([value]) + data[at + 1 :]))
     for junk in (bytes(1 << 16), b"GET / HTTP/1.1\r\n", b"\x01\x00\x01\x01\x7f\xff\xff\xff"):
         frames = codec.MessageDecoder(4096)
         (got,) = frames.feed(junk)
-        assert got.over and not frames.rest
+        assert got.fatal and not frames.buffer
 
 
 def test_unknown_tlvs_are_passed_over():
--- a/tests/test_fronts.py
+++ b/tests/test_fronts.py
@@ -11,7 +11,7 @@
 import sys
 
 import pytest
-from fronted import Fronted, follower, plan, same
+from front_end_harness import FrontEndHarness, make_configuration, make_follower, same_shares
 from helper import changes, line, until
 
 from garnetpaddle import interface as gp
@@ -23,106 +23,113 @@
 from garnetpaddle.sasp.session import Session
 
 
-def even(low, high):
+def shortest_wait(low, high):
     return low  # the shortest wait, so that tests take no longer than they must
 
 
-def sasp(addresses, play, tasks="abcdef", groups=("status",), uid="lb", **how):
-    members = play.members(tasks)
-    return SaspClient(addresses["sasp"], uid, dict.fromkeys(groups, members), uniform=even, **how)
+def sasp_client(addresses, harness, tasks="abcdef", groups=("status",), uid="lb", **how):
+    members = harness.members(tasks)
+    return SaspClient(addresses["sasp"], uid, dict.fromkeys(groups, members), uniform=shortest_wait, **how)
 
 
-def by_port(client, group="status"):
+def weights_by_port(client, group="status"):
     return {w.port: w.weight for w in client.weights(group)}
 
 
-class Compared:
+class TableComparison:
     """Holds what a client was told against the native table, after every generation: equal within one update,
     or two where a drain went ahead."""
 
-    def __init__(self, play, client):
-        self.play, self.client = play, client
+    def __init__(self, harness, client):
+        self.harness, self.client = harness, client
         self.generation = self.compared = self.updates = 0
 
     async def __call__(self):
-        snapshot = self.play.fronts.publisher.snapshot
+        snapshot = self.harness.front_ends.publisher.snapshot
         if snapshot.generation == self.generation or snapshot.bound.get(FIRST_FOLLOWER_NUMBER) is None:
             return
         self.generation = snapshot.generation
-        native = self.play.native_ports()
-        if not native:
+        native_weights = self.harness.native_weights_by_port()
+        if not native_weights:
             return
-        before = self.client.machine.serial
+        before = self.client.state_machine.serial
 
         def told():
-            self.play.fronts.manager.timers.run_due() if self.play.fronts.manager.timers else None
-            return same(by_port(self.client), native)
+            (
+                self.harness.front_ends.manager.timers.run_due()
+                if self.harness.front_ends.manager.timers
+                else None
+            )
+            return same_shares(weights_by_port(self.client), native_weights)
 
         # Pace and acknowledgement are in the test's time: it moves a little while nothing is ordered.
         for _ in range(60):
             if told():
                 break
             await asyncio.sleep(0.002)
-            self.play.now += 50
-        assert told(), (by_port(self.client), native)
-        assert self.client.machine.serial - before <= 2
-        self.updates += self.client.machine.serial - before
+            self.harness.now += 50
+        assert told(), (weights_by_port(self.client), native_weights)
+        assert self.client.state_machine.serial - before <= 2
+        self.updates += self.client.state_machine.serial - before
         self.compared += 1
 
 
 def test_a_day_of_a_follower_equals_the_native_tables_after_every_generation():
-    async def day():
-        play = Fronted(plan(follower(), pace=0.1))
-        async with play.served() as addresses, sasp(addresses, play) as client:
-            await until(lambda: play.coming_in)
-            each = Compared(play, client)
-            await play.steps(6, each)
-            play.sums["a"], play.sums["b"] = (10, 0, 80), (10, 0, 500)
-            await play.steps(10, each)
-            play.hear(changes(line("c", "draining")))
-            await each()
-            await play.steps(2, each)
-            play.sums["d"], play.probes["d"] = (10, 10, 0), "timeout"
-            await play.steps(5, each)
-            play.sums["d"], play.probes["d"] = (10, 0, 200), "ok"
-            play.hear(changes(line("c", started=play.now / 10_000)))
-            await play.steps(25, each)
-            play.hear(gp.OrdersInDoubt())
-            await play.steps(3, each)
-            play.hear(gp.ListHeard("full", tuple(line(t) for t in "adef")))
-            await play.steps(5, each)
-            seen = " ".join(play.trace)
+    async def scenario():
+        harness = FrontEndHarness(make_configuration(make_follower(), pace=0.1))
+        async with harness.serving() as addresses, sasp_client(addresses, harness) as client:
+            await until(lambda: harness.follower_events)
+            comparison = TableComparison(harness, client)
+            await harness.steps(6, comparison)
+            harness.sums["a"], harness.sums["b"] = (10, 0, 80), (10, 0, 500)
+            await harness.steps(10, comparison)
+            harness.hear(changes(line("c", "draining")))
+            await comparison()
+            await harness.steps(2, comparison)
+            harness.sums["d"], harness.probes["d"] = (10, 10, 0), "timeout"
+            await harness.steps(5, comparison)
+            harness.sums["d"], harness.probes["d"] = (10, 0, 200), "ok"
+            harness.hear(changes(line("c", started=harness.now / 10_000)))
+            await harness.steps(25, comparison)
+            harness.hear(gp.OrdersInDoubt())
+            await harness.steps(3, comparison)
+            harness.hear(gp.ListHeard("full", tuple(line(t) for t in "adef")))
+            await harness.steps(5, comparison)
+            seen = " ".join(harness.trace)
             for word in ("taken out", "let back", "c=0 ", "d="):
                 assert word in seen + " "
             # Nothing of the follower's was ever an order of the relay's.
-            sent = [o for reply in play.replies for o in reply]
+            sent = [o for reply in harness.platform_replies for o in reply]
             assert sent and not any(isinstance(o, gp.Bind) and o.proxy >= FIRST_FOLLOWER_NUMBER for o in sent)
-            return each.compared, client.log
+            return comparison.compared, client.log
 
-    compared, log = asyncio.run(day())
+    compared, log = asyncio.run(scenario())
     assert compared >= 20 and log == ["opened"]
 
 
 def test_a_dfp_manager_is_told_the_same():
-    async def day():
-        one = follower(takes="acknowledged", groups=["status"])
+    async def scenario():
+        one = make_follower(takes="acknowledged", groups=["status"])
         dfp = (op.Dfp("old", "127.0.0.1:0", "lb", "status", 0.1),)
-        play = Fronted(plan(one, dfp=dfp))
-        async with play.served() as addresses, DfpClient(addresses["old"], uniform=even) as client:
-            await until(lambda: play.coming_in)
-            client.machine.tables = {"status": client.machine.table}
-            client.weights = lambda group: tuple(client.machine.table.values())
-            each = Compared(play, client)
-            await play.steps(6, each)
-            play.sums["a"], play.sums["b"] = (10, 0, 80), (10, 0, 500)
-            await play.steps(8, each)
-            play.hear(changes(line("c", "draining")))
-            await play.steps(2, each)
-            play.hear(changes(line("c", started=play.now / 10_000)))
-            await play.steps(20, each)
-            return each.compared
-
-    assert asyncio.run(day()) >= 12
+        harness = FrontEndHarness(make_configuration(one, dfp=dfp))
+        async with (
+            harness.serving() as addresses,
+            DfpClient(addresses["old"], uniform=shortest_wait) as client,
+        ):
+            await until(lambda: harness.follower_events)
+            client.state_machine.tables = {"status": client.state_machine.table}
+            client.weights = lambda group: tuple(client.state_machine.table.values())
+            comparison = TableComparison(harness, client)
+            await harness.steps(6, comparison)
+            harness.sums["a"], harness.sums["b"] = (10, 0, 80), (10, 0, 500)
+            await harness.steps(8, comparison)
+            harness.hear(changes(line("c", "draining")))
+            await harness.steps(2, comparison)
+            harness.hear(changes(line("c", started=harness.now / 10_000)))
+            await harness.steps(20, comparison)
+            return comparison.compared
+
+    assert asyncio.run(scenario()) >= 12
 
 
 def test_over_a_restart_a_client_keeps_its_advice_until_the_first_good_table():
@@ -132,70 +139,72 @@
         async for update in client.updates():
             told.append({w.port: w.weight for w in update.weights})
 
-    async def day():
-        play = Fronted(plan(pace=0.1))
+    async def scenario():
+        harness = FrontEndHarness(make_configuration(pace=0.1))
         async with contextlib.AsyncExitStack() as stack:
-            async with play.served() as addresses:
-                client = await stack.enter_async_context(sasp(addresses, play))
+            async with harness.serving() as addresses:
+                client = await stack.enter_async_context(sasp_client(addresses, harness))
                 watching = asyncio.create_task(watch(client))
-                await until(lambda: play.coming_in)
-                play.sums["a"] = (10, 0, 500)
-                each = Compared(play, client)
-                await play.steps(9, each)
-                former = by_port(client)
+                await until(lambda: harness.follower_events)
+                harness.sums["a"] = (10, 0, 500)
+                comparison = TableComparison(harness, client)
+                await harness.steps(9, comparison)
+                former = weights_by_port(client)
             assert len(told) >= 3
             # Killed; it comes again at its address, and has not heard of anything but the list.
             where = f"127.0.0.1:{addresses['sasp'][1]}"
-            again = Fronted(plan(pace=0.1, listen=where), restarted=True, proxies=0)
+            again = FrontEndHarness(make_configuration(pace=0.1, listen=where), restarted=True, proxies=0)
             again.sums = {}
             again.hear(*(gp.ProxyJoined(p, 20.0, False, "z") for p in range(2)))
-            async with again.served():
+            async with again.serving():
                 count = len(told)
-                await until(lambda: again.coming_in)
-                assert [e.fresh for e in again.coming_in if isinstance(e, gp.ProxyJoined)] == [False]
+                await until(lambda: again.follower_events)
+                assert [e.fresh for e in again.follower_events if isinstance(e, gp.ProxyJoined)] == [False]
                 await again.steps(2)
-                assert by_port(client) == former and len(told) == count
+                assert weights_by_port(client) == former and len(told) == count
                 again.sums = {t: (10, 0, 500 if t == "a" else 200) for t in "abcdef"}
-                each = Compared(again, client)
-                await again.steps(8, each)
-                assert each.compared and len(told) > count
+                comparison = TableComparison(again, client)
+                await again.steps(8, comparison)
+                assert comparison.compared and len(told) > count
             watching.cancel()
 
-    asyncio.run(day())
+    asyncio.run(scenario())
     assert all(any(weights.values()) for weights in told)
 
 
 def test_a_drained_node_leaves_within_the_grace_or_the_client_goes():
     """One client answers, one reads and says nothing, one does not even read."""
 
-    async def day():
-        names = [follower(name, rate=1.0) for name in ("answers", "silent", "deaf")]
-        play = Fronted(plan(*names, pace=0.1))
+    async def scenario():
+        names = [make_follower(name, rate=1.0) for name in ("answers", "silent", "deaf")]
+        harness = FrontEndHarness(make_configuration(*names, pace=0.1))
         async with contextlib.AsyncExitStack() as stack:
-            addresses = await stack.enter_async_context(play.served())
+            addresses = await stack.enter_async_context(harness.serving())
             answers, silent = [
-                await stack.enter_async_context(sasp(addresses, play, uid=name, answers=name == "answers"))
+                await stack.enter_async_context(
+                    sasp_client(addresses, harness, uid=name, answers=name == "answers")
+                )
                 for name in ("answers", "silent")
             ]
             reader, writer = await asyncio.open_connection(*addresses["sasp"], limit=1_024)
             name = m.GroupName(b"deaf", b"status")
-            members = tuple(m.MemberData.of(*at) for at in play.members("abcdef"))
+            members = tuple(m.MemberData.of(*at) for at in harness.members("abcdef"))
             writer.write(codec.encode(m.SetLbState(1, b"deaf", 0, True, False, False)))
             writer.write(codec.encode(m.Register(2, True, ((name, members),))))
-            await until(lambda: len(play.coming_in) == 3)
-            await play.steps(1.5)
-            await until(lambda: by_port(answers) and by_port(silent))
-            drained = play.now
-            play.hear(changes(line("a", "draining")))
-            port = play.places.by_task["a"][1]
-            await until(lambda: not by_port(answers)[port] and not by_port(silent)[port])
+            await until(lambda: len(harness.follower_events) == 3)
+            await harness.steps(1.5)
+            await until(lambda: weights_by_port(answers) and weights_by_port(silent))
+            drained = harness.now
+            harness.hear(changes(line("a", "draining")))
+            port = harness.task_addresses.by_task["a"][1]
+            await until(lambda: not weights_by_port(answers)[port] and not weights_by_port(silent)[port])
             left = {}
-            while len(left) < 2 and play.now < drained + 40_000:
-                await play.steps(0.1)
+            while len(left) < 2 and harness.now < drained + 40_000:
+                await harness.steps(0.1)
                 await asyncio.sleep(0.002)
-                for event in play.coming_in:
+                for event in harness.follower_events:
                     if isinstance(event, gp.ProxyLeft):
-                        left[event.proxy - FIRST_FOLLOWER_NUMBER] = play.now - drained
+                        left[event.proxy - FIRST_FOLLOWER_NUMBER] = harness.now - drained
             assert sorted(left) == [1, 2] and max(left.values()) < 30_000
             writer.transport.abort()
             # Who answered is still there; who did not is held out at first, then let in.
@@ -203,17 +212,17 @@
             await until(lambda: silent.log.count("opened") > 1)
             await until(lambda: any("refused" in x for x in silent.log))
 
-    asyncio.run(day())
+    asyncio.run(scenario())
 
 
 def test_a_flood_costs_the_fronts_no_more_than_their_room():
-    async def day():
-        play = Fronted(plan(connections=16, message_kib=64, unread_kib=64, pace=0.1))
-        async with play.served() as addresses, sasp(addresses, play) as client:
-            await until(lambda: play.coming_in)
-            await play.steps(1)
-            await until(lambda: by_port(client))
-            manager, most = play.fronts.manager, 0
+    async def scenario():
+        harness = FrontEndHarness(make_configuration(connections=16, message_kib=64, unread_kib=64, pace=0.1))
+        async with harness.serving() as addresses, sasp_client(addresses, harness) as client:
+            await until(lambda: harness.follower_events)
+            await harness.steps(1)
+            await until(lambda: weights_by_port(client))
+            manager, most = harness.front_ends.manager, 0
             opened = []
             for k in range(1_000):
                 with contextlib.suppress(OSError):
@@ -230,153 +239,156 @@
                     most = max(most, len(manager.connections))
             await until(lambda: len(manager.connections) <= 16)
             assert most <= 16 + 128  # those the listener has taken in this turn and not yet looked at
-            held = sum(len(x.decoder.rest) for x in manager.connections.values())
+            held = sum(len(x.decoder.buffer) for x in manager.connections.values())
             assert held <= 16 * 65_536
             # A link dropped while its words wait to be heard waits no longer: they piled up by thousands.
             await until(lambda: len(asyncio.all_tasks()) <= 16 + 8)
             # The follower stayed, and the native channel's Brain never heard of any of it.
             assert client.log == ["opened"]
-            assert not any(isinstance(e, gp.ProxyLeft) for e in play.coming_in)
-            await play.steps(3)
+            assert not any(isinstance(e, gp.ProxyLeft) for e in harness.follower_events)
+            await harness.steps(3)
             await until(lambda: not [x for x in manager.connections.values() if x.session.follower is None])
             for _, writer in opened:
                 writer.transport.abort()
 
-    asyncio.run(day())
+    asyncio.run(scenario())
 
 
 def test_a_trickle_of_single_bytes_is_read_or_ended():
-    async def day():
-        play = Fronted(plan())
-        async with play.served() as addresses:
+    async def scenario():
+        harness = FrontEndHarness(make_configuration())
+        async with harness.serving() as addresses:
             reader, writer = await asyncio.open_connection(*addresses["sasp"])
             name = m.GroupName(b"lb", b"status")
             whole = codec.encode(
-                m.Register(7, True, ((name, (m.MemberData.of(*play.places.by_task["a"]),)),))
+                m.Register(7, True, ((name, (m.MemberData.of(*harness.task_addresses.by_task["a"]),)),))
             )
             for byte in whole:
                 writer.write(bytes([byte]))
                 await asyncio.sleep(0)
-            frames = codec.MessageDecoder(4096)
-            replies = []
-            while not replies:
-                replies = list(frames.feed(await reader.read(4096)))
-            assert replies[0].code == 0
+            decoder = codec.MessageDecoder(4096)
+            platform_replies = []
+            while not platform_replies:
+                platform_replies = list(decoder.feed(await reader.read(4096)))
+            assert platform_replies[0].code == 0
             # The next one never ends.
             writer.write(whole[:20])
-            connection = next(iter(play.fronts.manager.connections.values()))
-            await until(lambda: connection.session.incomplete_since is not None)
-            await play.steps(2.2)
+            connection = next(iter(harness.front_ends.manager.connections.values()))
+            await until(lambda: connection.session.partial_message_since is not None)
+            await harness.steps(2.2)
             assert await reader.read() == b""
 
-    asyncio.run(day())
+    asyncio.run(scenario())
 
 
 @pytest.mark.parametrize("size", [1, 7, 4096])
 def test_a_client_that_dies_within_a_message_registers_again(size):
-    async def day():
-        play = Fronted(plan(pace=0.1))
-        async with play.served() as addresses:
+    async def scenario():
+        harness = FrontEndHarness(make_configuration(pace=0.1))
+        async with harness.serving() as addresses:
             name = m.GroupName(b"lb", b"status")
             whole = codec.encode(
-                m.Register(7, True, ((name, (m.MemberData.of(*play.places.by_task["a"]),)),))
+                m.Register(7, True, ((name, (m.MemberData.of(*harness.task_addresses.by_task["a"]),)),))
             )
             _, writer = await asyncio.open_connection(*addresses["sasp"])
             writer.write(whole + whole[:size])
-            await until(lambda: play.coming_in)
+            await until(lambda: harness.follower_events)
             writer.transport.abort()
-            await until(lambda: any(isinstance(e, gp.ProxyLeft) for e in play.coming_in))
-            async with sasp(addresses, play) as client:
-                await until(lambda: sum(isinstance(e, gp.ProxyJoined) for e in play.coming_in) == 2)
-                await play.steps(1)
-                await until(lambda: by_port(client))
+            await until(lambda: any(isinstance(e, gp.ProxyLeft) for e in harness.follower_events))
+            async with sasp_client(addresses, harness) as client:
+                await until(lambda: sum(isinstance(e, gp.ProxyJoined) for e in harness.follower_events) == 2)
+                await harness.steps(1)
+                await until(lambda: weights_by_port(client))
 
-    asyncio.run(day())
+    asyncio.run(scenario())
 
 
 def test_a_jam_gives_each_client_one_update_a_pace_and_the_latest_at_last():
-    async def day():
-        names = [follower(f"lb{k}", rate=1.0) for k in range(8)]
-        play = Fronted(plan(*names, pace=1.0), tasks="abcdefghij")
+    async def scenario():
+        names = [make_follower(f"lb{k}", rate=1.0) for k in range(8)]
+        harness = FrontEndHarness(make_configuration(*names, pace=1.0), tasks="abcdefghij")
         async with contextlib.AsyncExitStack() as stack:
-            addresses = await stack.enter_async_context(play.served())
+            addresses = await stack.enter_async_context(harness.serving())
             clients = [
-                await stack.enter_async_context(sasp(addresses, play, "abcdefghij", uid=f"lb{k}"))
+                await stack.enter_async_context(sasp_client(addresses, harness, "abcdefghij", uid=f"lb{k}"))
                 for k in range(8)
             ]
-            await until(lambda: len(play.coming_in) == 8)
-            await play.steps(1.5)
-            await until(lambda: all(by_port(c) for c in clients))
-            before = [c.machine.serial for c in clients]
-            start = play.now
+            await until(lambda: len(harness.follower_events) == 8)
+            await harness.steps(1.5)
+            await until(lambda: all(weights_by_port(c) for c in clients))
+            before = [c.state_machine.serial for c in clients]
+            start = harness.now
             for n in range(25):  # the shares of all jump ten times a second
-                play.last = [gp.SetLine(1, t, 0.5 + (n + k) % 10 / 10) for k, t in enumerate("abcdefghij")]
-                play.now += 1_000
-                play.fronts.follow(play.now, [], play.last)
-                play.fronts.manager.timers.run_due() if play.fronts.manager.timers else None
+                harness.last = [gp.SetLine(1, t, 0.5 + (n + k) % 10 / 10) for k, t in enumerate("abcdefghij")]
+                harness.now += 1_000
+                harness.front_ends.follow(harness.now, [], harness.last)
+                harness.front_ends.manager.timers.run_due() if harness.front_ends.manager.timers else None
                 await asyncio.sleep(0.005)
-            after = [c.machine.serial - b for c, b in zip(clients, before, strict=True)]
-            assert max(after) <= 1 + (play.now - start) // 10_000 and min(after) >= 1
-            native = {play.places.by_task[o.task][1]: o.weight for o in play.last}
+            after = [c.state_machine.serial - b for c, b in zip(clients, before, strict=True)]
+            assert max(after) <= 1 + (harness.now - start) // 10_000 and min(after) >= 1
+            native_weights = {harness.task_addresses.by_task[o.task][1]: o.weight for o in harness.last}
 
             def settled():
-                play.now += 100
-                play.fronts.manager.timers.run_due() if play.fronts.manager.timers else None
-                return all(same(by_port(c), native) for c in clients)
+                harness.now += 100
+                harness.front_ends.manager.timers.run_due() if harness.front_ends.manager.timers else None
+                return all(same_shares(weights_by_port(c), native_weights) for c in clients)
 
             await until(settled)
 
-    asyncio.run(day())
+    asyncio.run(scenario())
 
 
 def test_a_refused_group_is_told_why_and_the_others_serve():
-    async def day():
-        play = Fronted(plan(follower(retries="any")))
-        async with play.served() as addresses, sasp(addresses, play, groups=("charge",)) as client:
+    async def scenario():
+        harness = FrontEndHarness(make_configuration(make_follower(retries="any")))
+        async with (
+            harness.serving() as addresses,
+            sasp_client(addresses, harness, groups=("charge",)) as client,
+        ):
             await until(lambda: any("refused: 0x11" in x for x in client.log))
-            assert not play.coming_in
-        play = Fronted(plan(follower(retries="any"), pace=0.1))
-        async with play.served() as addresses, sasp(addresses, play) as client:
-            await until(lambda: play.coming_in)
-            await play.steps(1)
-            await until(lambda: by_port(client))
+            assert not harness.follower_events
+        harness = FrontEndHarness(make_configuration(make_follower(retries="any"), pace=0.1))
+        async with harness.serving() as addresses, sasp_client(addresses, harness) as client:
+            await until(lambda: harness.follower_events)
+            await harness.steps(1)
+            await until(lambda: weights_by_port(client))
 
-    asyncio.run(day())
+    asyncio.run(scenario())
 
 
 def test_a_second_manager_that_has_not_heard_lists_nobody_again():
     """Two assigners, one balancer at both; the second one's list is late."""
 
-    async def day():
-        plays = [Fronted(plan(pace=0.1)) for _ in range(2)]
+    async def scenario():
+        harnesses = [FrontEndHarness(make_configuration(pace=0.1)) for _ in range(2)]
         async with contextlib.AsyncExitStack() as stack:
             clients = []
-            for play in plays:
-                addresses = await stack.enter_async_context(play.served())
-                clients.append(await stack.enter_async_context(sasp(addresses, play)))
-                await until(lambda play=play: play.coming_in)
-                await play.steps(1.5)
-            await until(lambda: all(by_port(client) for client in clients))
-            port = plays[0].places.by_task["a"][1]
+            for harness in harnesses:
+                addresses = await stack.enter_async_context(harness.serving())
+                clients.append(await stack.enter_async_context(sasp_client(addresses, harness)))
+                await until(lambda harness=harness: harness.follower_events)
+                await harness.steps(1.5)
+            await until(lambda: all(weights_by_port(client) for client in clients))
+            port = harnesses[0].task_addresses.by_task["a"][1]
 
             def merged():
                 weights = merge(Update("status", c.weights("status"), 0, 0) for c in clients)
                 return {at[1]: w for at, w in weights.items()}
 
             assert port in merged() and len(merged()) == 6
-            plays[0].hear(changes(line("a", "draining")))
-            await until(lambda: not by_port(clients[0])[port])
+            harnesses[0].hear(changes(line("a", "draining")))
+            await until(lambda: not weights_by_port(clients[0])[port])
             # A step at the one that has not heard, and a reconnect there: the node stays out.
-            plays[1].sums["b"] = (10, 0, 500)
-            await plays[1].steps(5)
-            assert by_port(clients[1])[port] and port not in merged()
-            next(iter(plays[1].fronts.manager.connections.values())).writer.transport.abort()
+            harnesses[1].sums["b"] = (10, 0, 500)
+            await harnesses[1].steps(5)
+            assert weights_by_port(clients[1])[port] and port not in merged()
+            next(iter(harnesses[1].front_ends.manager.connections.values())).writer.transport.abort()
             await until(lambda: clients[1].log.count("opened") == 2)
-            await plays[1].steps(1)
-            await until(lambda: by_port(clients[1])[port])
+            await harnesses[1].steps(1)
+            await until(lambda: weights_by_port(clients[1])[port])
             assert port not in merged() and len(merged()) == 5
 
-    asyncio.run(day())
+    asyncio.run(scenario())
 
 
 def test_parts_of_a_fleet_add_up_whatever_their_scales():
@@ -390,12 +402,14 @@
 
 
 def test_a_fault_in_one_session_ends_that_one_alone(monkeypatch):
-    async def day():
-        play = Fronted(plan(follower("lb", rate=1.0), follower("other", rate=1.0), pace=0.1))
-        async with play.served() as addresses, sasp(addresses, play) as client:
-            await until(lambda: play.coming_in)
-            await play.steps(1.5)
-            await until(lambda: by_port(client))
+    async def scenario():
+        harness = FrontEndHarness(
+            make_configuration(make_follower("lb", rate=1.0), make_follower("other", rate=1.0), pace=0.1)
+        )
+        async with harness.serving() as addresses, sasp_client(addresses, harness) as client:
+            await until(lambda: harness.follower_events)
+            await harness.steps(1.5)
+            await until(lambda: weights_by_port(client))
             wanted = Session.wanted_weights
 
             def faulty(self, sheet):
@@ -404,49 +418,49 @@
                 return wanted(self, sheet)
 
             monkeypatch.setattr(Session, "wanted_weights", faulty)
-            async with sasp(addresses, play, uid="other") as other:
+            async with sasp_client(addresses, harness, uid="other") as other:
                 await until(lambda: other.log.count("opened") > 1)
-                await play.steps(1)
-                before = client.machine.serial
-                play.sums["a"] = (10, 0, 600)
-                await play.steps(6)
-                await until(lambda: client.machine.serial > before)
-                assert client.log == ["opened"] and not by_port(other)
+                await harness.steps(1)
+                before = client.state_machine.serial
+                harness.sums["a"] = (10, 0, 600)
+                await harness.steps(6)
+                await until(lambda: client.state_machine.serial > before)
+                assert client.log == ["opened"] and not weights_by_port(other)
 
-    asyncio.run(day())
+    asyncio.run(scenario())
 
 
 def test_a_fault_in_the_book_closes_the_fronts_and_nothing_else(monkeypatch):
-    async def day():
-        play = Fronted(plan(pace=0.1))
-        async with play.served() as addresses, sasp(addresses, play) as client:
-            await until(lambda: play.coming_in)
-            await play.steps(1.5)
-            await until(lambda: by_port(client))
+    async def scenario():
+        harness = FrontEndHarness(make_configuration(pace=0.1))
+        async with harness.serving() as addresses, sasp_client(addresses, harness) as client:
+            await until(lambda: harness.follower_events)
+            await harness.steps(1.5)
+            await until(lambda: weights_by_port(client))
 
             def faulty(*_):
                 raise RuntimeError("a fault")
 
-            monkeypatch.setattr(play.fronts.snapshot_builder, "update", faulty)
-            await play.steps(0.5)
-            await until(lambda: not play.fronts.manager.connections)
-            await play.steps(3)
-            assert FIRST_FOLLOWER_NUMBER not in play.brain.proxies and play.brain.tables[0].laid
+            monkeypatch.setattr(harness.front_ends.snapshot_builder, "update", faulty)
+            await harness.steps(0.5)
+            await until(lambda: not harness.front_ends.manager.connections)
+            await harness.steps(3)
+            assert FIRST_FOLLOWER_NUMBER not in harness.brain.proxies and harness.brain.tables[0].laid
             await until(lambda: any("connect:" in x for x in client.log))
-            assert by_port(client)  # what it was told stands
+            assert weights_by_port(client)  # what it was told stands
 
-    asyncio.run(day())
+    asyncio.run(scenario())
 
 
 def test_a_listener_that_cannot_be_had_names_its_block():
-    async def day():
-        play = Fronted(plan())
-        async with play.served() as addresses:
-            other = Fronted(plan(listen=f"127.0.0.1:{addresses['sasp'][1]}"))
+    async def scenario():
+        harness = FrontEndHarness(make_configuration())
+        async with harness.serving() as addresses:
+            other = FrontEndHarness(make_configuration(listen=f"127.0.0.1:{addresses['sasp'][1]}"))
             with pytest.raises(OSError, match="sasp, 127.0.0.1"):
-                await other.fronts.open()
+                await other.front_ends.open()
 
-    asyncio.run(day())
+    asyncio.run(scenario())
 
 
 def started(arguments, code):
