--- a/tests/test_sasp.py
+++ b/tests/test_sasp.py
@@ -28,7 +28,7 @@
 from garnetpaddle.book import SnapshotBuilder
 from garnetpaddle.sasp import codec, constants
 from garnetpaddle.sasp import messages as m
-from garnetpaddle.sasp.constants import Code, Kind
+from garnetpaddle.sasp.constants import MessageType, ResponseCode
 from garnetpaddle.sasp.session import Session
 
 GOLDEN = {
@@ -43,7 +43,7 @@
     """: m.Register(7, True, ((m.GroupName(b"LB1", b"is"), (m.MemberData.of("10.1.0.18", 5000, "n1"),)),)),
     """2010 000d 01 00000012 00000007   # header of a message of 18 bytes, id 7
        1015 0005 45                     # registration reply, length 5, code 0x45
-    """: m.Reply(7, Kind.REGISTER_REPLY, Code.LB_UNKNOWN_YET),
+    """: m.Reply(7, MessageType.REGISTER_REPLY, ResponseCode.LB_UNKNOWN_YET),
     # A deregistration of a whole group.
     """2010 000d 01 00000026 00000008
        1020 0008 01 01 0001             # deregistration, length 8, the balancer's, learned and purposeful
@@ -64,7 +64,7 @@
          00 0d 2710                     # state 0, flags contact, registration, confident; weight 10,000
     """: m.Weights(
         9,
-        Code.SUCCESS,
+        ResponseCode.SUCCESS,
         5,
         ((m.GroupName(b"LB1", b"is"), (m.WeightEntry(m.MemberData.of("2001:db8::1", 443), 10_000, 0x0D),)),),
     ),
@@ -79,7 +79,7 @@
     """: m.SendWeights(
         2,
         ((m.GroupName(b"LB1", b"is"), (m.WeightEntry(m.MemberData.of("2001:db8::1", 443), 0, 0x07, 2),)),),
-        nested=True,
+        inclusive_lengths=True,
     ),
     """2010 000d 01 00000017 00000003
        1050 000a 03 4c4231 7f 05        # LB state, length 10, UID "LB1", health 127, flags push and no change
@@ -129,7 +129,7 @@
     st.builds(m.SendWeights, ID, ENTRIES, FLAG),
     st.builds(m.SetLbState, ID, st.binary(max_size=9), BYTE, FLAG, FLAG, FLAG),
     st.builds(m.SetMemberState, ID, FLAG, lists(st.builds(m.StateEntry, MEMBER, BYTE, FLAG)), FLAG),
-    st.builds(m.Reply, ID, st.sampled_from(list(codec.REPLIES.values())), BYTE),
+    st.builds(m.Reply, ID, st.sampled_from(list(codec.REPLY_TYPES.values())), BYTE),
 )
 
 
@@ -140,7 +140,10 @@
     got = [x for at in range(0, len(data), size) for x in frames.feed(data[at : at + size])]
     assert got == messages and not frames.has_partial_message()
     kept = [x for x in got if getattr(x, "groups", ()) and not isinstance(x, m.GetWeights)]
-    assert all(x.nested == y.nested for x, y in zip(kept, [x for x in messages if x in kept], strict=False))
+    assert all(
+        x.inclusive_lengths == y.inclusive_lengths
+        for x, y in zip(kept, [x for x in messages if x in kept], strict=False)
+    )
 
 
 @pytest.mark.parametrize("text", GOLDEN, ids=lambda text: re.search(r"\n\s+(\d{4})", text)[1])
@@ -167,21 +170,21 @@
     ):
         frames = codec.MessageDecoder(65_536)
         got = [x for at in range(0, len(junk), 16_384) for x in frames.feed(junk[at : at + 16_384])]
-        assert len(got) == 1 and got[0].over and not frames.rest
+        assert len(got) == 1 and got[0].fatal and not frames.buffer
 
 
 def test_what_the_wire_has_no_room_for_is_said():
     name, members = m.GroupName(b"x", b"y"), tuple(m.MemberData.of("10.0.0.1", k) for k in range(3_000))
     assert codec.encode(m.Register(1, True, ((name, members),)))
-    with pytest.raises(codec.CannotEncode):
-        codec.encode(m.Register(1, True, ((name, members),), nested=True))
+    with pytest.raises(codec.EncodeError):
+        codec.encode(m.Register(1, True, ((name, members),), inclusive_lengths=True))
 
 
 def test_addresses_are_those_of_the_list():
-    assert m.MemberData.of("10.1.0.18", 1).place == ("10.1.0.18", 1)
-    assert m.MemberData(6, 1, bytes(12) + bytes([10, 1, 0, 18])).place == ("10.1.0.18", 1)
-    assert m.MemberData.of("::1", 1).place == ("::1", 1)
-    assert all(sure in ("memory", "shape") for _, _, sure in constants.TABLE)
+    assert m.MemberData.of("10.1.0.18", 1).endpoint == ("10.1.0.18", 1)
+    assert m.MemberData(6, 1, bytes(12) + bytes([10, 1, 0, 18])).endpoint == ("10.1.0.18", 1)
+    assert m.MemberData.of("::1", 1).endpoint == ("::1", 1)
+    assert all(source in ("memory", "shape") for _, _, source in constants.FIELD_SOURCES)
 
 
 # The session
@@ -304,7 +307,7 @@
 
     match x:
         case m.Reply():
-            return f"{x.kind.name.lower()} 0x{x.code:02x}"
+            return f"{x.message_type.name.lower()} 0x{x.code:02x}"
         case m.Weights():
             return f"weights 0x{x.code:02x}, again in {x.interval} s, {entries(x.groups)}"
         case m.SendWeights():
@@ -441,7 +444,7 @@
 
 def test_who_polls_is_told_an_interval_that_the_grace_allows():
     for grace, told in ((30_000, 1), (90_000, 3), (600_000, 5)):
-        assert Talk(grace=grace).open().sessions[1].interval == told
+        assert Talk(grace=grace).open().sessions[1].poll_interval == told
     t = Talk(grace=90_000).open()
     t.hear(register(1, 2, 3))
     t.bind()
@@ -525,8 +528,8 @@
     for key, message in REFUSED.items():
         t = Talk().open(most=5)
         if key == "what_managers_say":
-            t.sessions[1].handle_message(t.now, codec.InvalidMessage("a reply", 1, Kind.WEIGHTS), [])
-            t.hear(codec.InvalidMessage("a reply", 1, Kind.GET_WEIGHTS))
+            t.sessions[1].handle_message(t.now, codec.InvalidMessage("a reply", 1, MessageType.WEIGHTS), [])
+            t.hear(codec.InvalidMessage("a reply", 1, MessageType.GET_WEIGHTS))
         else:
             t.hear(message)
         trace += [f"{key}:", *(x[9:] for x in t.trace)]
@@ -627,7 +630,7 @@
 def test_strangers_floods_and_the_unreadable_end():
     t = Talk().open().open(2).open(3).open(4)
     t.hand(2, InputProcessed(True))
-    t.hear(codec.InvalidMessage("no header: 0x4745, length 21536", None, over=True), 3)
+    t.hear(codec.InvalidMessage("no header: 0x4745, length 21536", None, fatal=True), 3)
     for _ in range(201):
         t.hand(4, MessageReceived(GET))
     t.trace = [x for x in t.trace if "unknown" not in x and "weights" not in x and "why" not in x]
@@ -657,7 +660,7 @@
         raise AssertionError("a table was walked")
 
     monkeypatch.setattr(Session, "wanted_weights", never)
-    monkeypatch.setattr(codec, "group_component", never)
+    monkeypatch.setattr(codec, "encode_group_component", never)
     before = len(t.trace)
     for _ in range(20):
         t.hear(GET)
@@ -666,10 +669,10 @@
 
 def test_lengths_are_answered_in_the_peers_own_form():
     t = Talk().open()
-    data = codec.encode(m.Register(1, True, register(1).groups, nested=True))
+    data = codec.encode(m.Register(1, True, register(1).groups, inclusive_lengths=True))
     (message,) = codec.MessageDecoder(4096).feed(data)
     t.hand(1, MessageReceived(message))
     t.bind()
     written = [a.data for a in t.sessions[1].handle(t.now, MessageReceived(GET)) if isinstance(a, WriteBytes)]
     (reply,) = codec.MessageDecoder(4096).feed(written[0])
-    assert reply.nested and reply.groups
+    assert reply.inclusive_lengths and reply.groups
