--- a/garnetpaddle/advice/__init__.py
+++ b/garnetpaddle/advice/__init__.py
@@ -1,7 +1,8 @@
-"""Weight advice for outside load balancers: the decisions that all its protocols share. No I/O.
+"""Weight advice for external load balancers: the protocol-independent part. No I/O.
 
-WeightTables turn the Brain's lines into integers, advise() selects what a group is sent, refusal() decides
-who may have which group, FollowerLeases who acts as which follower, UpdateDelivery who took what by when."""
+WeightTables converts the Brain's weights to integers; member_weights() computes what a group is sent;
+refusal_reason() authorizes a follower for a group; FollowerLeases tracks which connection acts as which
+follower; UpdateDelivery tracks which updates a client has confirmed, and the deadlines of drains."""
 
 from garnetpaddle.advice.access import refusal_reason
 from garnetpaddle.advice.leases import FollowerLeases, Lease
--- a/garnetpaddle/advice/access.py
+++ b/garnetpaddle/advice/access.py
@@ -1,21 +1,19 @@
-"""Which follower may have the advice of which route."""
+"""Authorization: which follower may receive the advice of which route."""
 
 SAFE_RETRIES = ("none", "on proof")
 
 
 def refusal_reason(effect, retries, level, already_granted):
-    """Why a follower may not have a route's advice; "" where it may.
+    """Returns why a follower may not receive a route's advice, or "" if it may.
 
-    effect: "repeatable", "keyed" or "mutating" (an unknown one counts as mutating). retries: what the
-    operator states that the follower does with a call that failed: "none", "on proof" or "any". level: the
-    Brain's book.Level of the route. standing: the follower has the group already.
+    effect: "repeatable", "keyed" or "mutating"; an unknown value counts as mutating. retries: the follower's
+    retry behaviour as declared by the operator: "none", "on proof" or "any". level: the Brain's book.Level
+    of the route. already_granted: whether the follower already has the group.
 
-    Advice says where a call may go, never whether it is sent again, so nothing here can keep an outside
-    client from retrying. A route whose calls must not run twice is therefore given only to a follower that,
-    by the operator's statement, does not retry them. While the Brain orders no retries, a follower that
-    would retry is not admitted; one that has the group keeps it, as an empty group would leave its calls
-    without a task.
-    """
+    Advice says where to send a call, not whether to retry it, so it cannot keep an external client from
+    retrying. A route whose calls must not run twice is therefore granted only to a follower that is declared
+    not to retry them. While the Brain allows no retries, a follower that would retry is not admitted; one
+    that already has the group keeps it, because an empty group would leave its calls without a task."""
     if effect == "repeatable":
         return ""
     if retries not in SAFE_RETRIES:
--- a/garnetpaddle/advice/leases.py
+++ b/garnetpaddle/advice/leases.py
@@ -1,24 +1,26 @@
-"""Leases: which connection acts as which of the operator's followers, and what the Brain hears of that."""
+"""Leases: which connection acts as which configured follower, and the join and leave events for the Brain.
+
+Times are in tenths of a ms."""
 
 from dataclasses import dataclass
 from typing import NamedTuple
 
 from garnetpaddle import interface as gp
 
-FIRST_FOLLOWER_NUMBER = 65_536  # followers' numbers as proxies start here: the platform's are below
-RESTART_PERIOD = 60_000  # 6 s: who joins so soon after our start may hold former advice; see Brain.HEIR
-LEASE_TIMEOUT = 30_000  # 3 s: another connection may take over the lease of one not heard for so long
-MIN_BLOCK_TIME, MAX_BLOCK_TIME = (
-    10_000,
-    600_000,
-)  # 1 s, doubled up to a minute: how long a failed follower is refused
-MAX_FAILURES = 16  # counted in a row
+FIRST_FOLLOWER_NUMBER = 65_536  # first proxy number of a follower; the platform's proxies have lower numbers
+RESTART_PERIOD = 60_000  # 6 s after our start in which a follower may hold older advice; see Brain.HEIR
+LEASE_TIMEOUT = 30_000  # 3 s without a sign of life, after which another connection may take the lease
+# How long a follower is refused after a failure: 1 s, doubled with each failure in a row, up to a minute.
+MIN_BLOCK_TIME, MAX_BLOCK_TIME = 10_000, 600_000
+MAX_FAILURES = 16  # highest count of failures in a row
 
 
 @dataclass(slots=True)
 class Lease:
-    """One follower's lease. number: as a proxy; holder: the connection's number, None while it is away;
-    failures: drains in a row that it did not take in time; joined: the Brain counts it as joined."""
+    """The lease of one follower.
+
+    proxy_number: its number as a proxy of the Brain; holder: number of the connection that holds the lease;
+    failures: drains in a row that it did not confirm in time; joined: the Brain counts it as joined."""
 
     name: str
     proxy_number: int
@@ -32,17 +34,17 @@
 
 
 class Acquisition(NamedTuple):
-    """The connection that lost the lease, if any, and the events for the Brain."""
+    """The connection that lost the lease, if any, and the events to publish to the Brain."""
 
     previous_holder: int | None
     events: list
 
 
 class FollowerLeases:
-    """All followers' leases."""
+    """The leases of all followers."""
 
     def __init__(self, followers, started_at):
-        """followers: (name, calls a second, zone) in the order of the file."""
+        """followers: (name, calls per second, zone) in configuration order."""
         self.started_at = started_at
         self.by_name = {
             name: Lease(name, FIRST_FOLLOWER_NUMBER + k, rate, zone)
@@ -50,8 +52,9 @@
         }
 
     def refusal_reason(self, now, name, connection, has_read_reply):
-        """Why a connection may not acquire a lease; "" where it may. reads_answers: it has sent a message
-        after an answer of ours had reached its machine."""
+        """Returns why a connection may not acquire a lease, or "" if it may.
+
+        has_read_reply: the client has sent a message after its TCP stack acknowledged a reply of ours."""
         lease = self.by_name[name]
         if lease.holder not in (None, connection) and now - lease.renewed_at < LEASE_TIMEOUT:
             return "another connection follows under this name"
@@ -62,7 +65,7 @@
         return ""
 
     def acquire(self, now, name, connection):
-        """The connection becomes the holder, whoever was: an Acquisition."""
+        """Makes the connection the holder, replacing any other; returns an Acquisition."""
         lease = self.by_name[name]
         previous = lease.holder if lease.holder != connection else None
         events = []
@@ -79,16 +82,18 @@
         return Acquisition(previous, events)
 
     def renew(self, now, name, connection):
-        """The connection was heard."""
+        """Extends the lease after a sign of life from the connection."""
         if self.by_name[name].holder == connection:
             self.by_name[name].renewed_at = now
 
     def clear_failures(self, name):
-        """The follower has shown that it took a drain."""
+        """Resets the failure count after the follower confirmed a drain."""
         self.by_name[name].failures = 0
 
     def release(self, now, name, connection, failed):
-        """The connection has ended; returns the events. failed: it did not take a drain in time."""
+        """Releases the lease of a connection that ended; returns the events for the Brain.
+
+        failed: the follower did not confirm a drain in time, and is refused for a while."""
         lease = self.by_name[name]
         if lease.holder != connection:
             return []
--- a/garnetpaddle/advice/session.py
+++ b/garnetpaddle/advice/session.py
@@ -1,4 +1,6 @@
-"""The part of a session that all advice protocols share: time limits, the lease, updates, their delivery."""
+"""The protocol-independent part of a session: time limits, lease, updates and their delivery.
+
+Times are in tenths of a ms."""
 
 from dataclasses import dataclass, field
 
@@ -21,15 +23,15 @@
 from garnetpaddle.advice.update_delivery import UpdateDelivery
 from garnetpaddle.advice.weight_table import member_weights
 
-FIRST_MESSAGE_TIMEOUT = 20_000  # 2 s in which a connection must send its first whole message
-REGISTRATION_TIMEOUT = 50_000  # 5 s more for each message of one that follows nothing
+FIRST_MESSAGE_TIMEOUT = 20_000  # 2 s from the connection's start to its first complete message
+REGISTRATION_TIMEOUT = 50_000  # 5 s from each message of a client without a lease to the next
 MESSAGE_TIMEOUT = 20_000  # 2 s from a message's first byte to its last
-MAX_MESSAGES, RATE_PERIOD = 200, 10_000  # messages in a second: more would cost what other clients need
+MAX_MESSAGES, RATE_PERIOD = 200, 10_000  # messages per 1 s, so that one client cannot starve the others
 
 
 @dataclass(frozen=True, slots=True)
 class MemberSetNumber:
-    """The number of a group's member set at a version of the group; see SessionRegistry.member_set_number."""
+    """The number of a group's member set at one group version; see SessionRegistry.member_set_number."""
 
     version: int = -1
     number: int | None = None
@@ -41,17 +43,17 @@
 
     route: GroupRoute
     members: dict = field(default_factory=dict)  # key -> advice.Member
-    drained: dict = field(default_factory=dict)  # (key, task) of the drains noted
-    version: int = 0  # changes with the members
+    drained: dict = field(default_factory=dict)  # (key, task) -> True, for each drain that was recorded
+    version: int = 0  # changes whenever the members do
     member_set: MemberSetNumber = field(default_factory=MemberSetNumber)
 
 
 class AdviceSession:
-    """The base of a protocol's session.
+    """Base class of the protocols' sessions.
 
-    handle(now, event) takes a session event and returns actions; after a CloseConnection it returns none but
-    for ConnectionLost. Subclasses handle messages (`handle_message`), encode updates (`encode_update`, to
-    bytes) and may add times of their own (`extra_timers`). groups: name -> FollowedGroup."""
+    handle(now, event) takes a session event and returns actions; after a CloseConnection it handles only
+    ConnectionLost. Subclasses handle messages (`handle_message`), encode updates as bytes (`encode_update`)
+    and may add their own timers (`extra_timers`). groups: name -> FollowedGroup."""
 
     def __init__(self, registry, connection, min_update_interval, now):
         self.registry, self.connection, self.min_update_interval = registry, connection, min_update_interval
@@ -61,10 +63,8 @@
         self.closed, self.timer_at = False, None
         self.message_count, self.rate_period_start = 0, now
         self.has_read_reply, self.published_mark = False, None
-        self.recorded_drains_version = None  # the closed tasks and group version whose drains have been noted
-        self.up_to_date_version = (
-            None  # generation and group version of the last check that found nothing to send
-        )
+        self.recorded_drains_version = None  # closed tasks and group versions whose drains are recorded
+        self.up_to_date_version = None  # generation and group versions for which nothing is left to send
 
     def handle(self, now, event):
         """Handles one event; returns the actions."""
@@ -95,14 +95,14 @@
         return out
 
     def extend_time_limits(self, duration):
-        """Input was queued here for this long: the client's time limits do not count it."""
+        """Extends the client's time limits by the time for which its input was queued here."""
         self.deadline += duration
         self.partial_message_since = (
             None if self.partial_message_since is None else self.partial_message_since + duration
         )
 
     def receive(self, now, message, out):
-        """Counts a message, records what it confirms, and handles it."""
+        """Handles a message after the rate limit, and records what it confirms."""
         self.partial_message_since = None
         if now - self.rate_period_start >= RATE_PERIOD:
             self.message_count, self.rate_period_start = 0, now
@@ -117,7 +117,7 @@
         self.handle_message(now, message, out)
 
     def confirm_updates(self, now):
-        """A follower's message confirms the updates that its machine had before, and renews the lease."""
+        """Confirms the updates acknowledged before this message of a follower, and renews the lease."""
         unconfirmed_drains = len(self.delivery.drain_deadlines)
         self.delivery.message_received()
         self.has_read_reply = self.has_read_reply or self.delivery.acked_at_message > 0
@@ -126,7 +126,7 @@
         self.registry.leases.renew(now, self.follower.name, self.connection)
 
     def acknowledge(self, now, total):
-        """The client's machine has acknowledged so many bytes."""
+        """Records how many bytes the client's TCP stack has acknowledged."""
         progress, self.acked = total > self.acked, max(self.acked, total)
         if self.follower:
             self.delivery.acknowledge(self.acked)
@@ -134,12 +134,11 @@
                 self.registry.leases.renew(now, self.follower.name, self.connection)
 
     def write(self, data, out):
-        """Writes to the client."""
         self.written += len(data)
         out.append(WriteBytes(data))
 
     def close(self, now, why, out, failed=False):
-        """Closes the connection. failed: the client did not take a drain in time."""
+        """Closes the connection. failed: the client did not confirm a drain in time."""
         out.append(
             log_line(
                 "follower_closed" if self.follower else "stranger_closed",
@@ -155,7 +154,9 @@
     # The lease
 
     def acquire_lease(self, now, follower, out):
-        """Acquires the follower's lease, which `leases.refusal` allowed; returns its former holder."""
+        """Acquires the follower's lease; returns the previous holder, or None.
+
+        The caller has checked `leases.refusal_reason` before."""
         previous, events = self.registry.leases.acquire(now, follower.name, self.connection)
         if self.follower is None:
             self.follower = follower
@@ -182,19 +183,20 @@
     # Updates
 
     def weight_table(self):
-        """The present WeightTable of this follower."""
+        """Returns the current WeightTable of this follower."""
         return self.registry.weight_table(self.follower.name)
 
     def wanted_weights(self, table):
-        """What each group should have been sent: name -> key -> MemberWeight."""
+        """Returns the weights that each group should have: name -> key -> MemberWeight."""
         return {
             name: self.group_weights(table, group, self.delivery.last_sent.get(name, {}))
             for name, group in self.groups.items()
         }
 
     def group_weights(self, table, group, last_sent):
-        """One group's weights. Followers with the same members of the same table share them, and must not
-        change them."""
+        """Returns one group's weights, which must not be modified.
+
+        Followers with the same members of the same table share them."""
         admitted = self.is_admitted(table, group)
         if group.member_set.version != group.version:
             number = self.registry.member_set_number(group.members)
@@ -207,12 +209,12 @@
         return table.cache[cache_key]
 
     def is_admitted(self, table, group):
-        """Whether anything of the group's route is let in."""
+        """Returns whether the Brain admits any calls of the group's route."""
         level = table.levels.get(group.route.number)
         return level is None or level.part > 0
 
     def record_drains(self, table):
-        """Every member that drains must be confirmed as taken, sent before or not; see advise."""
+        """Records the drain of every member, including those never sent; see member_weights."""
         if (
             self.recorded_drains_version is not None
             and self.recorded_drains_version[0] is table.closed
@@ -225,7 +227,7 @@
                 self.record_drain(table, group, key, member.current_task(table))
 
     def record_drain(self, table, group, key, task):
-        """Notes that a member's task drains, or is open again."""
+        """Records that a member's task is draining or gone, or is ready again."""
         if task in table.closed:
             if (key, task) not in group.drained:
                 group.drained[key, task] = True
@@ -256,7 +258,7 @@
         return None
 
     def publish_mark(self, now, out):
-        """Tells the Brain of the newest mark whose update is confirmed."""
+        """Reports the newest mark whose update is confirmed to the Brain."""
         mark = self.delivery.mark
         if mark is not None and mark != self.published_mark:
             self.published_mark = mark
@@ -264,7 +266,7 @@
             out.append(PublishEvent(gp.Applied(number, mark, max(0, now - self.delivery.sent_at))))
 
     def push(self, now, table, versions, out):
-        """Sends an update if there is something new and the client may be written to."""
+        """Sends an update if something changed and the client may be written to."""
         drained = self.delivery.unsent_drains(table.closed)
         if not self.delivery.may_send(now, urgent=bool(drained)):
             return
@@ -274,7 +276,7 @@
         if not changed and not drained:
             self.up_to_date_version = table.generation, versions
             return
-        if not changed:  # sent as zero already, but the drain must still be sent as such
+        if not changed:  # sent with weight 0 already, but the drain itself must be sent to be confirmed
             changed = {
                 name: group
                 for name, group in wanted.items()
@@ -285,16 +287,16 @@
         self.up_to_date_version = table.generation, versions
 
     def record_update(self, now, table, wanted, drained):
-        """An update with these weights, telling of these drains, was written."""
+        """Records that an update with these weights and drains was written."""
         self.delivery.last_sent |= wanted
         self.delivery.record_sent(now, self.written, table.mark, drained)
 
     def group_versions(self):
-        """Changes whenever groups or members do."""
+        """Returns a value that changes whenever groups or members do."""
         return tuple(group.version for group in self.groups.values())
 
     def set_timer(self, now, out):
-        """Asks to be called at the next time limit."""
+        """Sets the timer to the next time limit."""
         times = [] if self.partial_message_since is None else [self.partial_message_since + MESSAGE_TIMEOUT]
         if self.follower is None:
             times.append(self.deadline)
@@ -314,16 +316,18 @@
             self.timer_at = at
             out.append(SetTimer(at))
 
-    # What a protocol's session provides
+    # Implemented by the protocols' sessions
 
     def handle_message(self, now, message, out):
         """Handles one message of the client."""
         raise NotImplementedError
 
     def encode_update(self, table, wanted, changed):
-        """An update as bytes. wanted, changed: name -> key -> MemberWeight of all groups, of changed ones."""
+        """Returns an update as bytes.
+
+        wanted, changed: name -> key -> MemberWeight, of all groups and of those that changed."""
         raise NotImplementedError
 
     def extra_timers(self, now):
-        """Further times at which a protocol's session has something to do."""
+        """Returns further times at which the session needs a check."""
         return ()
--- a/garnetpaddle/advice/session_events.py
+++ b/garnetpaddle/advice/session_events.py
@@ -1,5 +1,6 @@
-"""Events that a session handles and actions that it returns: the interface between the pure sessions and the
-sockets around them."""
+"""The events that a session handles and the actions that it returns.
+
+They are the interface between the sessions, which do no I/O, and the connection manager."""
 
 from dataclasses import dataclass
 
@@ -10,42 +11,42 @@
 
 @dataclass(frozen=True, slots=True)
 class MessageReceived:
-    """A decoded message of the client, or the codec's value for an unreadable one."""
+    """A decoded message of the client, or the codec's InvalidMessage."""
 
     message: object
 
 
 @dataclass(frozen=True, slots=True)
 class InputProcessed:
-    """A chunk of input was processed. incomplete: a message has begun and not ended."""
+    """A chunk of input was processed. incomplete: it ended within a message."""
 
     incomplete: bool
 
 
 @dataclass(frozen=True, slots=True)
 class InputDelayed:
-    """The client's input was queued here for so long before it was read, which is no silence of its own."""
+    """The client's input waited here this long before it was read; its time limits must not count that."""
 
     duration: int
 
 
 @dataclass(frozen=True, slots=True)
 class SnapshotPublished:
-    """There is a newer snapshot of the book."""
+    """A newer snapshot of the tables is available."""
 
     snapshot: Snapshot
 
 
 @dataclass(frozen=True, slots=True)
 class BytesAcknowledged:
-    """The client's machine has acknowledged the first `total` bytes of the stream."""
+    """The client's TCP stack has acknowledged the first `total` bytes of the stream."""
 
     total: int
 
 
 @dataclass(frozen=True, slots=True)
 class TimerExpired:
-    """The time asked for by SetTimer has come."""
+    """The time requested by SetTimer has come."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -60,14 +61,14 @@
 
 @dataclass(frozen=True, slots=True)
 class WriteBytes:
-    """Write to the client."""
+    """Write these bytes to the client."""
 
     data: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class CloseConnection:
-    """Close the connection now; afterwards only ConnectionLost is handled."""
+    """Close the connection now; afterwards the session handles only ConnectionLost."""
 
     why: str
 
@@ -81,21 +82,21 @@
 
 @dataclass(frozen=True, slots=True)
 class NotifySession:
-    """Let another connection's session check what it has to do."""
+    """Make another connection's session check for work."""
 
     connection: int
 
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Hand in TimerExpired at this time; replaces the former timer. None: no timer."""
+    """Send TimerExpired at this time, replacing the previous timer; None cancels it."""
 
     at: int | None
 
 
 @dataclass(frozen=True, slots=True)
 class LogLine:
-    """Write a log line, as a warning or for information."""
+    """Write a log line, as a warning or at the info level."""
 
     event: str
     fields: tuple[tuple[str, object], ...] = ()
@@ -103,5 +104,5 @@
 
 
 def log_line(event, warning=False, **fields):
-    """A LogLine with these fields."""
+    """Returns a LogLine with these fields."""
     return LogLine(event, tuple(fields.items()), warning)
--- a/garnetpaddle/advice/update_delivery.py
+++ b/garnetpaddle/advice/update_delivery.py
@@ -1,20 +1,25 @@
-"""Delivery of updates to one client: what it was sent, has shown to have taken, and by when it must."""
+"""Delivery of updates to one client: what was sent and confirmed, and the deadlines for confirming drains.
+
+Times are in tenths of a ms."""
 
 from typing import NamedTuple
 
-SAFETY_MARGIN = 0.25  # of the grace period: for the close to reach the client, and for its calls under way
-MIN_SAFETY_MARGIN = 3_000  # 0.3 s of it at least, where the grace period allows
-READ_TIMEOUT = 20_000  # 2 s that an update may wait unread by the client's machine
-MAX_UNCONFIRMED = 32  # updates that may be unconfirmed; older ones are merged
+SAFETY_MARGIN = 0.25  # of the grace period, left for the close to reach the client and its calls to finish
+MIN_SAFETY_MARGIN = 3_000  # 0.3 s, unless that is over half of the grace period
+READ_TIMEOUT = 20_000  # 2 s within which the client's TCP stack must acknowledge an update
+MAX_UNCONFIRMED = 32  # unconfirmed updates tracked separately; the oldest are merged beyond that
 
 
 def drain_allowance(grace_period):
-    """How long after a drain is heard a client may go without having shown that it took it."""
+    """Returns how long after the start of a drain the client may take to confirm it."""
     return grace_period - min(max(int(grace_period * SAFETY_MARGIN), MIN_SAFETY_MARGIN), grace_period // 2)
 
 
 class Unconfirmed(NamedTuple):
-    """An update that was written and not yet confirmed. end: the stream's length with it."""
+    """An update that was written and is not yet confirmed.
+
+    end_offset: its end in the output stream, in bytes; mark: the mark of the Brain's last seal that it
+    includes."""
 
     end_offset: int
     mark: int
@@ -22,10 +27,10 @@
 
 
 class UpdateDelivery:
-    """Counts bytes, as the transport does.
+    """Tracks the updates of one connection by their byte offsets in the output stream.
 
-    confirmed_by: "acknowledged" if the client's TCP having the bytes shows that it took them, "answers" if
-    only a later message of the client does."""
+    min_update_interval: between two updates, except drains. confirmed_by: "acknowledged" if the client's TCP
+    acknowledgement counts as confirmation, "answers" if only a later message of the client does."""
 
     def __init__(self, min_update_interval, grace_period, confirmed_by):
         self.min_update_interval, self.allowance, self.confirmed_by = (
@@ -35,32 +40,34 @@
         )
         self.last_sent = {}  # group -> key -> MemberWeight, as last written
         self.sent_at, self.end_offset = -min_update_interval, 0  # of the newest update
-        self.acked, self.acked_at_message = 0, 0  # bytes acknowledged now, and at the client's last message
+        self.acked, self.acked_at_message = 0, 0  # bytes acknowledged: now, and at the client's last message
         self.unconfirmed = []
-        self.drain_deadlines = {}  # task -> by when its drain must have been taken
-        self.mark = None  # of the newest confirmed update
+        self.drain_deadlines = {}  # task -> time by which its drain must be confirmed
+        self.mark = None  # the Brain's mark of the newest confirmed update
 
     def add_drain(self, task, since):
-        """A task that this client may hold drains, or is gone, since then. The first report of it counts."""
+        """Records since when a task that the client may use drains or is gone; the first report counts."""
         self.drain_deadlines.setdefault(task, since + self.allowance)
 
     def cancel_drain(self, task):
-        """The task is ready again."""
+        """Drops the deadline of a task that is ready again."""
         self.drain_deadlines.pop(task, None)
 
     def unsent_drains(self, closed):
-        """Drains of which no update has been written."""
+        """Returns the pending drains that no written update contains."""
         written = {task: True for update in self.unconfirmed for task in update.drained}
         return [task for task in self.drain_deadlines if task in closed and task not in written]
 
     def may_send(self, now, urgent):
-        """Whether an update may be written: one in flight, and one a pace unless it is a drain."""
+        """Returns whether an update may be written.
+
+        At most one is in flight, and one per min_update_interval unless it is urgent (a drain)."""
         if self.end_offset > self.acked:
             return False
         return urgent or now >= self.sent_at + self.min_update_interval
 
     def record_sent(self, now, end_offset, mark, drained):
-        """An update was written that tells of these drains. end: the stream's length with it."""
+        """Records a written update that ends at this offset and contains these drains."""
         self.sent_at, self.end_offset = now, end_offset
         self.unconfirmed.append(Unconfirmed(end_offset, mark, tuple(drained)))
         if len(self.unconfirmed) > MAX_UNCONFIRMED:
@@ -69,18 +76,18 @@
         self.remove_confirmed()
 
     def acknowledge(self, total):
-        """The client's machine has acknowledged so many bytes."""
+        """Records how many bytes the client's TCP stack has acknowledged."""
         self.acked = max(self.acked, total)
         if self.confirmed_by == "acknowledged":
             self.remove_confirmed()
 
     def message_received(self):
-        """A whole message of the client was read, after its machine had acknowledged `acked` bytes."""
+        """Records a complete message of the client; it confirms what was acknowledged before it."""
         self.acked_at_message = self.acked
         self.remove_confirmed()
 
     def remove_confirmed(self):
-        """Settles the updates that the client has shown to have taken."""
+        """Removes the updates that the client has confirmed, and the deadlines of their drains."""
         total = self.acked if self.confirmed_by == "acknowledged" else self.acked_at_message
         while self.unconfirmed and self.unconfirmed[0].end_offset <= total:
             update = self.unconfirmed.pop(0)
@@ -89,7 +96,7 @@
                 self.drain_deadlines.pop(task, None)
 
     def overdue_reason(self, now):
-        """Why the connection must be closed, or ""."""
+        """Returns why the connection must be closed, or ""."""
         if any(deadline <= now for deadline in self.drain_deadlines.values()):
             late = min(self.drain_deadlines, key=lambda task: (self.drain_deadlines[task], task))
             return f"has not shown that it took the drain of {late}"
@@ -98,7 +105,7 @@
         return ""
 
     def next_deadline(self, update_pending):
-        """When to check again; None where nothing is awaited. update_waits: there is something to send."""
+        """Returns when to check again, or None. update_pending: there is an update to send."""
         times = list(self.drain_deadlines.values())
         if self.end_offset > self.acked:
             times.append(self.sent_at + READ_TIMEOUT)
--- a/garnetpaddle/advice/weight_table.py
+++ b/garnetpaddle/advice/weight_table.py
@@ -1,4 +1,4 @@
-"""A table's weights as integers, computed once a generation for all followers of the table."""
+"""Integer weights of a table, computed once per generation for all followers of the table."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -9,59 +9,58 @@
 
 
 class MemberWeight(NamedTuple):
-    """What is sent of one member."""
+    """The advice on one member."""
 
     weight: int  # 0 to 65535
-    contact: bool  # it is in the list, and no probe says that nothing listens there
-    quiesced: bool  # nothing new is to be sent to it
-    confident: bool = True  # the weight is learnt, not a default
+    contact: bool  # the member is in the task list, and no health check found its port closed
+    quiesced: bool  # no new calls may be sent to it
+    confident: bool = True  # the weight is based on measurements, not a default
 
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """A member as a follower has registered it. key: its bytes on that wire, which name it."""
+    """A member as registered by a follower. key: its encoding in the follower's protocol, used as its id."""
 
     key: bytes
     address: tuple[str, int]
     task: str
-    quiesced: bool = False  # by the member itself or its balancer, not by the list
-    state: int = 0  # opaque, returned as given
-    registered: bool = True  # False: it has deregistered itself, which its balancer must still hear of
+    quiesced: bool = False  # by the member itself or its balancer, not by the task list
+    state: int = 0  # opaque to us, returned as received
+    registered: bool = True  # False: it has deregistered itself, and its balancer must still be told
 
     def current_task(self, table):
-        """Its task, or if that was forgotten, the task that the list now has at its address."""
+        """Returns its task or, if that has been forgotten, the task now listed at its address."""
         return self.task if self.task in table.tasks else table.tasks_by_address.get(self.address, self.task)
 
 
 DRAINING = MemberWeight(0, True, True)
 UNKNOWN = MemberWeight(0, False, True, False)
 UNUSED = MemberWeight(0, True, False)
-LAST_RESORT = MemberWeight(1, True, False, False)  # no other member is left: see advise
+LAST_RESORT = MemberWeight(1, True, False, False)  # sent if no member has a weight; see member_weights
 
 
 @dataclass(frozen=True, slots=True)
 class WeightTable:
-    """One table of the book at one generation, with integer weights."""
+    """One table of a snapshot, with integer weights."""
 
     generation: int
-    number: int  # of the table; 0: the follower is bound to none
+    number: int  # of the table; 0: the follower is not bound to a table
     mark: int
     weights: Mapping[str, MemberWeight]  # of every known task
     tasks: Mapping  # task -> book.TaskRecord
     tasks_by_address: Mapping  # address -> task
-    closed: Mapping[str, int]  # task -> since when it drains or is gone
-    levels: Mapping = field(default_factory=dict)  # by route: book.Level
-    warm: Mapping[str, bool] = field(default_factory=dict)
-    cache: dict = field(default_factory=dict, compare=False)  # results that sessions share; see AdviceSession
+    closed: Mapping[str, int]  # task -> time since which it has been draining or gone
+    levels: Mapping = field(default_factory=dict)  # route number -> book.Level
+    warm: Mapping[str, bool] = field(default_factory=dict)  # task -> whether its ramp-up is over
+    cache: dict = field(default_factory=dict, compare=False)  # results shared by sessions; see AdviceSession
 
     def weight_of(self, task):
-        """A task's MemberWeight."""
         return self.weights.get(task, UNKNOWN)
 
 
 @dataclass(frozen=True, slots=True)
 class CachedTable:
-    """A WeightTable and the parts of a snapshot from which it was computed."""
+    """A WeightTable and the parts of the snapshot from which it was computed."""
 
     table: object
     tasks: object
@@ -70,7 +69,7 @@
     result: WeightTable
 
     def is_current(self, snapshot, table):
-        """Whether it would be computed alike from this snapshot."""
+        """Returns whether this snapshot would give the same result."""
         return (
             self.table is table
             and self.tasks is snapshot.tasks
@@ -80,17 +79,17 @@
 
 
 class WeightTables:
-    """The WeightTable of each table at the newest snapshot asked for.
+    """Caches the WeightTable of each table for the newest snapshot requested.
 
-    warm_after: tenths of a ms from a task's start until it is warm. Shares start even, so weights are sent
-    as confident only once they were steered. A snapshot in which only bindings or the mark changed has the
-    same tables as the one before: when hundreds of followers join at once, the others have nothing to do."""
+    warm_after: tenths of a ms from a task's start until it is warm. Weights start equal, so they are sent as
+    confident only once the Brain has adjusted them. A snapshot that differs only in bindings or the mark
+    reuses the cached tables, so that hundreds of followers joining at once cause no work for the others."""
 
     def __init__(self, warm_after):
         self.warm_after, self.scale, self.cached = warm_after, WeightScale(), {}
 
     def table_for(self, snapshot, proxy):
-        """The WeightTable of a proxy; number 0, with closed tasks alone, if it is bound to no table."""
+        """Returns the WeightTable of a proxy, with number 0 and closed tasks only if it has no table."""
         table = snapshot.table(proxy)
         number = table.number if table else 0
         cached = self.cached.get(number)
@@ -102,7 +101,7 @@
         return result
 
     def compute(self, snapshot, proxy, table):
-        """A new WeightTable."""
+        """Computes a WeightTable from a snapshot."""
         tasks, lines = snapshot.tasks, snapshot.usable_lines(proxy) or {}
         warm = {
             k: snapshot.at >= t.started_at + self.warm_after or not t.started_at for k, t in tasks.items()
@@ -130,13 +129,14 @@
 
 
 def member_weights(members, table, last_sent, admitted=True):
-    """What to send of a group's members: key -> MemberWeight.
+    """Computes the advice on a group's members: key -> MemberWeight.
 
-    members: key -> Member; last_sent: key -> MemberWeight; admitted: False where the route's level is 0.
-    Without a table what was sent stands, but a member that drains or is gone is sent so at once, whether it
-    was sent before or not: a balancer may hold it from an earlier process. A group without any weight is not
-    left empty while one member is ready and warm, since a failing member beats none there too: these are
-    sent weight 1, not confident."""
+    members: key -> Member; last_sent: key -> MemberWeight; admitted: False if the route's level is 0.
+
+    Without a table the advice last sent stays in force, except that a member that is draining or gone is
+    reported at once, even if it was never sent: the balancer may know it from an earlier process of ours. If
+    no member has a weight, the ready and warm ones get weight 1, not confident, because a failing member is
+    better than none."""
     if not table.number:
         return member_weights_without_table(members, table, last_sent)
     weights = {}
@@ -154,7 +154,7 @@
 
 
 def member_weights_without_table(members, table, last_sent):
-    """What was sent before, and which members are closed since."""
+    """Returns the advice last sent, updated for members that are draining or gone."""
     weights = {}
     for key, member in members.items():
         task = member.current_task(table)
--- a/garnetpaddle/client/__init__.py
+++ b/garnetpaddle/client/__init__.py
@@ -1,8 +1,8 @@
-"""Clients of weight advice, for balancers in Python: SASP (a balancer's side) and DFP (a manager's side).
+"""Clients of weight advice for load balancers in Python: SASP (load balancer) and DFP (manager).
 
-The protocols are state machines without I/O, SaspBalancer and DfpManager; SaspClient and DfpClient run them
-on asyncio and reconnect by themselves (`async for update in client.updates()`). merge() combines the advice
-of several assigners."""
+The protocols are state machines without I/O, SaspBalancer and DfpManager; SaspClient and DfpClient run
+them on asyncio and reconnect automatically (`async for update in client.updates()`). merge() combines the
+advice of several assigners."""
 
 from garnetpaddle.client.advice_types import Update, Weight
 from garnetpaddle.client.asyncio_client import DfpClient, SaspClient
--- a/garnetpaddle/client/advice_types.py
+++ b/garnetpaddle/client/advice_types.py
@@ -1,11 +1,11 @@
-"""What a client of weight advice hands to its user."""
+"""The advice as a client passes it to its user."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class Weight:
-    """The advice on one member. quiesced: send it nothing new. confident: learnt, not a default."""
+    """The advice on one member. quiesced: send it no new calls; confident: learned, not a default."""
 
     host: str
     port: int
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Update:
-    """A group's advice after a message. serial: counts the updates of this client; at: its clock."""
+    """A group's advice after a message. serial: counts this client's updates; at: time on its clock."""
 
     group: str
     weights: tuple[Weight, ...]
--- a/garnetpaddle/client/asyncio_client.py
+++ b/garnetpaddle/client/asyncio_client.py
@@ -1,4 +1,4 @@
-"""Runs a client's state machine on asyncio: one connection, one timer, updates to iterate over."""
+"""Runs a client's state machine on asyncio, with one connection and one timer, and provides its updates."""
 
 import asyncio
 import random
@@ -14,25 +14,25 @@
 from garnetpaddle.dfp.codec import Key
 from garnetpaddle.sasp.messages import MemberData
 
-MemberAddress = tuple[str, int] | tuple[str, int, str]  # host (an IP address), port, label
+MemberAddress = tuple[str, int] | tuple[str, int, str]  # IP address, port, optional label
 Uniform = Callable[[float, float], float]
 READ_SIZE = 64 << 10  # bytes read at once
 CONNECT_TIMEOUT = 2.0  # s
 MAX_MESSAGE = 4 << 20  # bytes
-MAX_LOG = 100  # entries kept
+MAX_LOG = 100  # log entries kept
 TENTHS_OF_MS_PER_SECOND = 10_000
 
 
 def clock():
-    """The time in tenths of a ms, from an arbitrary zero."""
+    """Returns the time in tenths of a ms since an arbitrary start."""
     return int(time.monotonic() * TENTHS_OF_MS_PER_SECOND)
 
 
 class Client:
-    """Runs inside `async with`, reconnecting by itself.
+    """Runs inside `async with`, and reconnects automatically.
 
-    Network errors end a connection, and the last advice stands. updates() yields the newest Update of each
-    group: a slow reader misses those in between. log: what happened, in words, the last 100 entries."""
+    A network error ends the connection; the last advice stays in force. updates() yields the newest Update
+    of each group, so a slow reader misses those in between. log: the last 100 events, as text."""
 
     def __init__(
         self, address: tuple[str, int], state_machine: SaspBalancer | DfpManager, decoder: Callable
@@ -56,7 +56,7 @@
             self.writer.transport.abort()
 
     async def updates(self) -> AsyncIterator[Update]:
-        """The newest Update of each group, whenever there is a newer one. Never ends by itself."""
+        """Yields the newest Update of each group whenever there is a new one. Never ends by itself."""
         while True:
             while not self.pending_updates:
                 self.update_available.clear()
@@ -65,15 +65,14 @@
             yield self.pending_updates.pop(group)
 
     def weights(self, group: str) -> tuple[Weight, ...]:
-        """The last advice on a group: a tuple of Weight, empty where there was none."""
+        """Returns the last advice on a group, empty if there was none."""
         return tuple(self.state_machine.tables.get(group, {}).values())
 
     def add_log(self, text):
-        """Keeps a log entry."""
         self.log = [*self.log[1 - MAX_LOG :], text]
 
     def handle(self, event):
-        """Hands an event to the state machine and carries out its actions."""
+        """Passes an event to the state machine and executes its actions."""
         for action in self.state_machine.handle(clock(), event):
             match action:
                 case events.SendBytes(data):
@@ -83,7 +82,7 @@
                     self.pending_updates[action.group] = action
                     self.update_available.set()
                 case events.Disconnect(why):
-                    self.add_log(f"hung up: {why}")
+                    self.add_log(f"disconnected: {why}")
                     if self.writer:
                         self.writer.transport.abort()
                 case events.RequestRefused(request, code):
@@ -101,7 +100,7 @@
         self.timer = asyncio.get_running_loop().call_later(wait, self.handle, events.TimerExpired())
 
     async def run(self):
-        """Opens a connection whenever the state machine asks for one; the first at once."""
+        """Opens a connection whenever the state machine requests one; the first is opened at once."""
         self.connect_requested.set()
         while True:
             await self.connect_requested.wait()
@@ -111,7 +110,7 @@
             self.handle(events.ConnectionClosed(why))
 
     async def serve_connection(self):
-        """Opens one connection and serves it to its end; returns why it ended."""
+        """Opens one connection and serves it until it ends; returns why it ended."""
         try:
             async with asyncio.timeout(CONNECT_TIMEOUT):
                 reader, writer = await asyncio.open_connection(*self.address, limit=READ_SIZE)
@@ -124,7 +123,7 @@
             while chunk := await reader.read(READ_SIZE):
                 for message in decoder.feed(chunk):
                     self.handle(events.MessageReceived(message))
-            return "the other side closed it"
+            return "closed by the peer"
         except OSError as error:
             return str(error)
         finally:
@@ -133,14 +132,14 @@
 
 
 class SaspClient(Client):
-    """A balancer that follows a group workload manager, RFC 4678.
+    """A load balancer that follows a group workload manager, RFC 4678.
 
         async with SaspClient(("127.0.0.1", 3860), "LB-1", {"status": [("10.0.0.5", 5000)]}) as client:
             async for update in client.updates():
-                steer(update.group, update.weights)
+                set_weights(update.group, update.weights)
 
-    groups: name -> (host, port) or (host, port, label) of each member, IP addresses. push, no_change, trust,
-    answers: as in SaspBalancer. Raises ValueError for what is no address."""
+    groups: name -> (host, port) or (host, port, label) of each member, with IP addresses as hosts; raises
+    ValueError for other hosts. push, no_change, trust, answers: as in SaspBalancer."""
 
     def __init__(
         self,
@@ -155,15 +154,15 @@
         super().__init__(address, state_machine, lambda: sasp.MessageDecoder(MAX_MESSAGE))
 
     def register(self, group: str, *members: MemberAddress) -> None:
-        """Adds members; raises ValueError for what is no address."""
+        """Adds members; raises ValueError for a host that is no IP address."""
         self.change(group, members, events.Change.ADD)
 
     def deregister(self, group: str, *members: MemberAddress) -> None:
-        """Takes members out, learned and purposeful."""
+        """Removes members; the manager is told that this is learned and purposeful."""
         self.change(group, members, events.Change.REMOVE)
 
     def quiesce(self, group: str, *members: MemberAddress) -> None:
-        """These get nothing new, until `open`: the manager tells it back to all who follow the group."""
+        """Stops new calls to these members until `open`; the manager reports it to the group's followers."""
         self.change(group, members, events.Change.QUIESCE)
 
     def open(self, group: str, *members: MemberAddress) -> None:
@@ -171,13 +170,13 @@
         self.change(group, members, events.Change.OPEN)
 
     def change(self, group, members, change):
-        """Hands a change of a group's members to the state machine."""
+        """Passes a change of a group's members to the state machine."""
         data = tuple(MemberData.of(*member) for member in members)
         self.handle(events.ChangeMembers(group, data, change))
 
 
 class DfpClient(Client):
-    """A manager that takes an agent's advice, draft-eck-dfp. key: garnetpaddle.dfp.codec.Key, or None."""
+    """A manager that follows an agent's advice, draft-eck-dfp. key: garnetpaddle.dfp.codec.Key or None."""
 
     def __init__(
         self,
@@ -191,5 +190,5 @@
         super().__init__(address, state_machine, lambda: dfp.MessageDecoder(MAX_MESSAGE, key))
 
     def weights(self, group: str = "") -> tuple[Weight, ...]:
-        """The last advice, empty where there was none; there is one group, whatever its name."""
+        """Returns the last advice, empty if there was none; there is one group, whatever its name."""
         return tuple(self.state_machine.table.values())
--- a/garnetpaddle/client/dfp_manager.py
+++ b/garnetpaddle/client/dfp_manager.py
@@ -1,4 +1,4 @@
-"""A DFP manager's side of draft-eck-dfp, without I/O: the same events and actions as a SASP balancer's."""
+"""The manager's role of draft-eck-dfp, without I/O; it shares its events and actions with SaspBalancer."""
 
 import enum
 
@@ -19,11 +19,11 @@
 )
 from garnetpaddle.dfp import codec
 
-MISSED_KEEP_ALIVES = 3  # after which the agent counts as dead
+MISSED_KEEP_ALIVES = 3  # keep-alive periods without a message after which the connection is closed
 
 
 class State(enum.Enum):
-    """Of the connection to the agent."""
+    """State of the connection to the agent."""
 
     DISCONNECTED = "disconnected"
     FOLLOWING = "following"
@@ -32,8 +32,9 @@
 class DfpManager:
     """handle(now, event) takes an event of protocol_events and returns actions and Updates.
 
-    Advice outlives a connection. keep_alive: s within which the agent is asked to send something; name: what
-    its one group is called in updates; key: codec.Key or None; uniform: (low, high) -> float."""
+    The last advice stays in force when the connection is lost. name: the group's name in updates;
+    keep_alive: s within which the agent is asked to send something; key: codec.Key or None; uniform: (low,
+    high) -> float."""
 
     def __init__(self, name, uniform, keep_alive=5, key=None):
         self.name, self.uniform, self.keep_alive, self.key = name, uniform, keep_alive, key
@@ -70,11 +71,11 @@
         return out
 
     def silence_timeout(self):
-        """How long the agent may be silent."""
+        """Returns how long the agent may be silent, in tenths of a ms."""
         return self.keep_alive * MISSED_KEEP_ALIVES * SECOND
 
     def apply_loads(self, now, loads, out):
-        """The weights of a Preference message."""
+        """Applies the weights of a Preference message."""
         for load in loads:
             for host in load.hosts:
                 address = ".".join(map(str, host.address))
--- a/garnetpaddle/client/merge.py
+++ b/garnetpaddle/client/merge.py
@@ -1,4 +1,4 @@
-"""The advice of several managers as one, for a balancer that follows more than one assigner."""
+"""Merges the advice of several managers, for a balancer that follows more than one assigner."""
 
 from collections.abc import Iterable
 
@@ -6,12 +6,12 @@
 
 
 def merge(updates: Iterable[Update]) -> dict[tuple[str, int], float]:
-    """(host, port) -> weight above 0 of the members that may get calls; updates: the newest of each manager.
+    """Returns (host, port) -> weight above 0 of the usable members. updates: the newest of each manager.
 
-    Managers hear of a drain at different times, and one that has not heard yet still lists the member: one
-    that any of them calls quiesced gets nothing, whatever the others say. Each manager's numbers have a scale
-    of their own, so they count against the average of its usable members. Where each manager orders a part of
-    the fleet, the parts add up; where all order the whole, the sums are in the proportions of their mean."""
+    Managers learn of a drain at different times, and one that does not know of it yet still lists the
+    member, so a member that any of them reports as quiesced is left out. Each manager has its own weight
+    scale, so weights are divided by the average of its usable members. If each manager orders a part of
+    the fleet, the parts add up; if all order the whole, the sums have the proportions of their mean."""
     sums, quiesced = {}, {}
     for update in updates:
         usable = [w.weight for w in update.weights if w.weight and not w.quiesced]
--- a/garnetpaddle/client/protocol_events.py
+++ b/garnetpaddle/client/protocol_events.py
@@ -1,5 +1,6 @@
-"""Events that a client's state machine handles and actions that it returns, and its back-off. Besides these
-actions, a state machine returns Updates."""
+"""The events that a client's state machine handles, the actions that it returns, and its backoff.
+
+Besides these actions, a state machine returns Updates. Times are in tenths of a ms."""
 
 import enum
 from dataclasses import dataclass
@@ -8,12 +9,12 @@
 
 SECOND = 10_000  # tenths of a ms
 MIN_RECONNECT_WAIT, MAX_RECONNECT_WAIT = 2_000, 100_000  # 0.2 s, doubled up to 10 s
-JITTER = (0.5, 1.5)  # factors of a wait: clients of a restarted manager must not return all at once
+JITTER = (0.5, 1.5)  # factor on a wait, so that clients of a restarted manager do not return all at once
 MAX_DOUBLINGS = 16
 
 
 def backoff(shortest, longest, failures, uniform):
-    """A wait that doubles with each failure, with jitter. uniform: (low, high) -> float."""
+    """Returns a wait that doubles with each failure, with jitter. uniform: (low, high) -> random float."""
     return int(min(shortest * 2 ** min(failures, MAX_DOUBLINGS), longest) * uniform(*JITTER))
 
 
@@ -22,30 +23,30 @@
 
 @dataclass(frozen=True, slots=True)
 class ConnectionOpened:
-    """The connection asked for by Connect has opened."""
+    """The connection requested by Connect is open."""
 
 
 @dataclass(frozen=True, slots=True)
 class MessageReceived:
-    """A decoded message, or the codec's value for an unreadable one."""
+    """A decoded message, or the codec's InvalidMessage."""
 
     message: object
 
 
 @dataclass(frozen=True, slots=True)
 class ConnectionClosed:
-    """The connection has ended, or could not be opened."""
+    """The connection has ended or could not be opened."""
 
     why: str
 
 
 @dataclass(frozen=True, slots=True)
 class TimerExpired:
-    """The time asked for by SetTimer has come."""
+    """The time requested by SetTimer has come."""
 
 
 class Change(enum.Enum):
-    """What the user wants to do with members of a group."""
+    """A change to members of a group."""
 
     ADD = "add"
     REMOVE = "drop"
@@ -55,7 +56,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ChangeMembers:
-    """The user's request to change a group."""
+    """The user's request to change members of a group."""
 
     group: str
     members: tuple[MemberData, ...]
@@ -86,14 +87,14 @@
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Hand in TimerExpired at this time; replaces the former timer."""
+    """Send TimerExpired at this time, replacing the previous timer."""
 
     at: int
 
 
 @dataclass(frozen=True, slots=True)
 class RequestRefused:
-    """The manager refuses a request, which is repeated later on the same connection."""
+    """The manager refused a request, which is retried later on the same connection."""
 
     request: str
     code: int
--- a/garnetpaddle/client/sasp_balancer.py
+++ b/garnetpaddle/client/sasp_balancer.py
@@ -1,4 +1,4 @@
-"""A SASP balancer's side of RFC 4678, without I/O: what to send next, and what the advice is."""
+"""The load balancer's role of RFC 4678, without I/O: what to send next, and the current advice."""
 
 import enum
 from typing import NamedTuple
@@ -25,14 +25,14 @@
 from garnetpaddle.sasp import messages as m
 from garnetpaddle.sasp.constants import CONFIDENT, CONTACT, QUIESCE, ResponseCode
 
-REPLY_TIMEOUT = 5 * SECOND  # a request unanswered so long: the manager is gone, whatever the connection says
-MIN_REFUSAL_WAIT, MAX_REFUSAL_WAIT = 10_000, 300_000  # 1 s, doubled up to 30 s: before registering again
+REPLY_TIMEOUT = 5 * SECOND  # without a reply, the manager counts as gone even if the connection is open
+MIN_REFUSAL_WAIT, MAX_REFUSAL_WAIT = 10_000, 300_000  # before registering again: 1 s, doubled up to 30 s
 MAX_MESSAGE_ID = 0xFFFF_FFFF
-BALANCER_HEALTH = 0x7F  # what this balancer says of its own health: the best
+BALANCER_HEALTH = 0x7F  # the best value, sent as this balancer's health
 
 
 class State(enum.Enum):
-    """Of the connection to the manager."""
+    """State of the connection to the manager."""
 
     DISCONNECTED = "disconnected"
     REGISTERING = "registering"
@@ -41,14 +41,14 @@
 
 
 class PendingRequest(NamedTuple):
-    """A request without a reply yet, and by when it must come."""
+    """A request without a reply yet. deadline: when the reply counts as missing."""
 
     name: str
     deadline: int
 
 
 def weight_of(entry):
-    """An entry of the wire as a Weight."""
+    """Converts a received entry to a Weight."""
     host, port = entry.member.endpoint
     return Weight(
         host,
@@ -64,16 +64,16 @@
 class SaspBalancer:
     """handle(now, event) takes an event of protocol_events and returns actions and Updates.
 
-    Advice outlives a connection: a lost manager's last weights stand until others come. push: weights as they
-    change, else polls as often as the manager says. no_change: only changed weights are sent. trust: members
-    may register themselves. answers: each update is answered by a message of ours, which shows the manager
-    that we took it (an assigner's `takes = "answers"`). uniform: (low, high) -> float."""
+    The last advice stays in force when the connection is lost. push: weights are pushed on change, else
+    polled at the manager's interval. no_change: only changed weights are pushed. trust: members may
+    register themselves. answers: each pushed update is answered by a message, which confirms it to the
+    manager (an assigner's `takes = "answers"`). uniform: (low, high) -> random float."""
 
     def __init__(self, uid, groups, uniform, push=True, no_change=True, trust=False, answers=True):
         self.uid, self.uniform = uid.encode(), uniform
         self.push, self.no_change, self.trust, self.answers = push, no_change, trust, answers
         self.groups = {name: {codec.encode_member(x): x for x in members} for name, members in groups.items()}
-        self.quiesced = {}  # (group, key) -> True: by our own request
+        self.quiesced = {}  # (group, key) -> True, for members quiesced at the user's request
         self.tables = {name: {} for name in groups}  # group -> key -> Weight
         self.state, self.failures, self.refusals, self.serial, self.message_id = (
             State.DISCONNECTED,
@@ -109,7 +109,7 @@
         return out
 
     def run_due(self, now, out):
-        """Gives the connection up if a reply is overdue, else does what is due in this state."""
+        """Disconnects if a reply is overdue, else does what is due in this state."""
         if any(request.deadline <= now for request in self.pending.values()):
             self.pending = {}
             out.append(Disconnect("no reply"))
@@ -129,7 +129,7 @@
     # Requests
 
     def send(self, now, make, request, out):
-        """Sends a request and waits for its reply. make: id -> message."""
+        """Sends a request and records it as pending. make: id -> message."""
         self.message_id = self.message_id % MAX_MESSAGE_ID + 1
         self.pending[self.message_id] = PendingRequest(request, now + REPLY_TIMEOUT)
         out.append(SendBytes(codec.encode(make(self.message_id))))
@@ -144,7 +144,6 @@
         )
 
     def register(self, now, out):
-        """Registers all groups."""
         groups = tuple(
             (self.group_name(name), tuple(members.values()))
             for name, members in self.groups.items()
@@ -154,17 +153,17 @@
             self.send(now, lambda n: m.Register(n, True, groups), "register", out)
 
     def request_weights(self, now, out):
-        """Asks for the weights of all groups."""
+        """Requests the weights of all groups."""
         self.send(now, lambda n: m.GetWeights(n, ()), "weights", out)
 
     def group_name(self, name):
-        """A group's name on the wire."""
+        """Returns a group's name as sent to the manager."""
         return m.GroupName(self.uid, name.encode())
 
-    # Messages of the manager
+    # Messages from the manager
 
     def receive(self, now, message, out):
-        """Handles a message of the manager."""
+        """Handles a message from the manager."""
         match message:
             case m.Weights() | m.Reply():
                 request = self.pending.pop(message.id, PendingRequest("", 0)).name
@@ -184,14 +183,14 @@
                 out.append(Disconnect("unreadable"))
 
     def handle_refusal(self, now, request, code, out):
-        """A request was refused; registering is tried again later."""
+        """Reports a refused request; after a refused registration or poll, registers again with backoff."""
         out.append(RequestRefused(request, code))
         if request in ("register", "weights"):
             wait = backoff(MIN_REFUSAL_WAIT, MAX_REFUSAL_WAIT, self.refusals, self.uniform)
             self.state, self.refusals, self.next_action_at = State.REFUSED, self.refusals + 1, now + wait
 
     def handle_weights_reply(self, now, message, out):
-        """The answer to a poll; polls again where weights are not pushed, or some group has none yet."""
+        """Applies the reply to a poll; polls again if weights are not pushed, or some group has none yet."""
         self.interval = max(message.interval, 1) * SECOND
         self.apply_weights(now, message.groups, out)
         complete = all(self.tables[name] for name, members in self.groups.items() if members)
@@ -199,7 +198,7 @@
             self.next_action_at = now + self.interval
 
     def apply_weights(self, now, groups, out):
-        """Weights of groups; those of unknown groups and members are ignored."""
+        """Applies weights of groups; unknown groups and members are ignored."""
         for name, entries in groups:
             group = name.name.decode("utf-8", "replace")
             if name.uid != self.uid or group not in self.groups:
@@ -216,7 +215,7 @@
     # The user's changes
 
     def change_members(self, now, event, out):
-        """Carries out a ChangeMembers, at once while following, else at the next registration."""
+        """Executes a ChangeMembers: at once while registered, else with the next registration."""
         members = self.groups.setdefault(event.group, {})
         self.tables.setdefault(event.group, {})
         changed = {codec.encode_member(data): data for data in event.members}
@@ -253,7 +252,7 @@
             self.send(now, lambda n: m.Deregister(n, True, 1, ((name, removed_members),)), "drop", out)
 
     def send_member_states(self, now, out, changed=None):
-        """Tells which members we hold quiesced; all of them after a registration."""
+        """Sends which members are quiesced: the changed ones, or all after a registration."""
         groups = {}
         for group, key in changed or self.quiesced:
             if key in self.groups[group]:
--- a/garnetpaddle/dfp/__init__.py
+++ b/garnetpaddle/dfp/__init__.py
@@ -1,7 +1,7 @@
-"""Cisco's Dynamic Feedback Protocol as in draft-eck-dfp, on the side of the agent, which advises a manager.
+"""Cisco's Dynamic Feedback Protocol as in draft-eck-dfp, in the role of the agent, which advises a manager.
 
-A codec and a session without I/O, on the decisions shared with SASP (garnetpaddle.advice). constants.TABLE
-says how certain each number is."""
+A codec and a session without I/O, based on the logic shared with SASP (garnetpaddle.advice).
+constants.FIELD_SOURCES says how reliable each protocol number is."""
 
 from garnetpaddle.dfp.codec import (
     BindIdReport,
--- a/garnetpaddle/dfp/codec.py
+++ b/garnetpaddle/dfp/codec.py
@@ -8,26 +8,26 @@
 from garnetpaddle.dfp.constants import MD5, VERSION, MessageType, TlvType
 
 HEADER = struct.Struct("!BBHI")  # version, reserved, type, message length
-TLV_HEAD = struct.Struct("!HH")  # of a TLV
-SECURITY = struct.Struct("!II16s")  # algorithm, key id, data
+TLV_HEAD = struct.Struct("!HH")  # type and length of a TLV
+SECURITY = struct.Struct("!II16s")  # algorithm, key id, digest
 LOAD = struct.Struct("!HBBHH")  # port, protocol, flags, hosts, reserved
 HOST = struct.Struct("!4sHH")  # address, BindID, weight
 BIND = struct.Struct("!H4s4s")  # BindID, client address, mask
-MAX_HOSTS = 8_000  # of one TLV: its length has 16 bits
+MAX_HOSTS = 8_000  # in one TLV, whose length has 16 bits
 
 
 @dataclass(frozen=True, slots=True)
 class Host:
     """A host and its weight."""
 
-    address: bytes  # 4 bytes: the draft has no room for IPv6
+    address: bytes  # 4 bytes; the draft does not support IPv6
     weight: int
     bind_id: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class Load:
-    """Hosts behind one port of a protocol (6 is TCP)."""
+    """Hosts behind one port. protocol: the IP protocol number; 6 is TCP."""
 
     port: int
     hosts: tuple[Host, ...]
@@ -44,26 +44,26 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerState:
-    """The manager's own findings about hosts; a weight of 0 means that it sends nothing there."""
+    """The manager's own state of hosts; weight 0 means that it sends no new connections there."""
 
     loads: tuple[Load, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
 class Parameters:
-    """keep_alive: s within which the manager wants to hear from the agent; None if absent, 0 for never."""
+    """keep_alive: s within which the manager expects a message of the agent; None if absent, 0 for never."""
 
     keep_alive: int | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class BindIdRequest:
-    """Asks for the table of BindIDs."""
+    """Requests the table of BindIDs."""
 
 
 @dataclass(frozen=True, slots=True)
 class BindIdReport:
-    """entries: (BindID, client's address, mask)."""
+    """entries: (BindID, client address, mask)."""
 
     entries: tuple[tuple[int, bytes, bytes], ...] = ()
 
@@ -73,7 +73,7 @@
     """A message that cannot be decoded."""
 
     why: str
-    fatal: bool = False  # the stream is lost with it
+    fatal: bool = False  # the stream cannot be decoded further
 
 
 class DecodeError(ValueError):
@@ -82,25 +82,27 @@
 
 @dataclass(frozen=True, slots=True)
 class Key:
-    """The shared key of manager and agent; None in its place means no security."""
+    """The key shared by manager and agent; None in its place disables security."""
 
     id: int
     secret: bytes
 
 
 def digest(message, secret):
-    """MD5 over the message with its security data zero, then the key."""
+    """MD5 of the message, with its security data set to zero, followed by the key."""
     return hashlib.md5(message + secret, usedforsecurity=False).digest()
 
 
 class MessageDecoder:
-    """Decodes a stream of bytes. most: bytes of the longest message accepted; key: what signs them."""
+    """Decodes a stream of bytes.
+
+    max_size: bytes of the longest message accepted; key: the key that messages must be signed with."""
 
     def __init__(self, max_size, key=None):
         self.max_size, self.key, self.buffer, self.failed = max_size, key, bytearray(), False
 
     def feed(self, chunk):
-        """The messages that this chunk completes."""
+        """Yields the messages that this chunk completes."""
         if self.failed:
             return
         self.buffer += chunk
@@ -126,12 +128,12 @@
         del self.buffer[:offset]
 
     def has_partial_message(self):
-        """Whether a message has begun and not ended."""
+        """Returns whether the input so far ends within a message."""
         return bool(self.buffer)
 
 
 def iterate_tlvs(data):
-    """(type, beginning of the value, value) of each TLV; every length is checked."""
+    """Yields (type, offset of the value, value) of each TLV; every length is checked."""
     offset = HEADER.size
     while offset < len(data):
         if offset + TLV_HEAD.size > len(data):
@@ -144,7 +146,7 @@
 
 
 def decode(data, key=None):
-    """Decodes a whole message; InvalidMessage(over=True) if its security is wrong."""
+    """Decodes a whole message; returns InvalidMessage(fatal=True) if its security data is wrong."""
     try:
         _, _, message_type, _ = HEADER.unpack_from(data)
         tlvs = list(iterate_tlvs(memoryview(data)))
@@ -156,7 +158,7 @@
 
 
 def security_error(data, tlvs, key):
-    """Why a message's security is wrong; "" if it is right, or none is asked for."""
+    """Returns why a message's security data is wrong; "" if it is right or no key is set."""
     security_tlvs = [(offset, value) for tlv_type, offset, value in tlvs if tlv_type == TlvType.SECURITY]
     if key is None:
         return ""
@@ -174,7 +176,7 @@
 
 
 def decode_body(message_type, tlvs):
-    """The value of a message's TLVs."""
+    """Builds a message from its TLVs."""
     match message_type:
         case MessageType.PREFERENCE:
             return Preference(decode_loads(tlvs))
@@ -197,7 +199,7 @@
 
 
 def split_table(value, item_layout):
-    """The head of a load or BindID table, and its items as slices."""
+    """Returns the head of a load or BindID table, and its items as slices."""
     if len(value) < LOAD.size:
         raise DecodeError("a table without a head")
     head, item_bytes = LOAD.unpack_from(value), value[LOAD.size :]
@@ -210,7 +212,7 @@
 
 
 def decode_loads(tlvs):
-    """The loads among a message's TLVs."""
+    """Decodes the loads among a message's TLVs."""
     found = []
     for tlv_type, _, value in tlvs:
         if tlv_type != TlvType.LOAD:
@@ -222,12 +224,11 @@
 
 
 def encode_tlv(tlv_type, value):
-    """A TLV as bytes."""
     return TLV_HEAD.pack(tlv_type, TLV_HEAD.size + len(value)) + value
 
 
 def encode_load(load):
-    """A load's TLVs as bytes: several if its hosts exceed what one can hold."""
+    """Encodes a load: in several TLVs if it has more hosts than fit into one."""
     out = []
     for first in range(0, max(len(load.hosts), 1), MAX_HOSTS):
         hosts = load.hosts[first : first + MAX_HOSTS]
@@ -241,7 +242,7 @@
 
 
 def frame(message_type, body, key=None):
-    """A whole message as bytes, signed if there is a key."""
+    """Encodes a whole message, signed if there is a key."""
     if key is not None:
         body = encode_tlv(TlvType.SECURITY, SECURITY.pack(MD5, key.id, bytes(16))) + body
     data = HEADER.pack(VERSION, 0, message_type, HEADER.size + len(body)) + body
@@ -252,7 +253,6 @@
 
 
 def encode(message, key=None):
-    """A message as bytes."""
     match message:
         case Preference() | ServerState():
             message_type = (
--- a/garnetpaddle/dfp/constants.py
+++ b/garnetpaddle/dfp/constants.py
@@ -1,4 +1,4 @@
-"""The numbers of draft-eck-dfp. Recalled, not read; garnetpaddle.sasp.constants says how that is meant."""
+"""The numbers of draft-eck-dfp, written down from memory; see garnetpaddle.sasp.constants for the meaning."""
 
 from enum import IntEnum
 
@@ -6,7 +6,7 @@
 
 
 class MessageType(IntEnum):
-    """Types of messages."""
+    """Message types."""
 
     PREFERENCE = 0x0101  # agent to manager
     SERVER_STATE = 0x0201  # manager to agent
@@ -15,7 +15,7 @@
 
 
 class TlvType(IntEnum):
-    """Types of TLVs."""
+    """TLV types."""
 
     SECURITY = 0x0001
     LOAD = 0x0002
@@ -23,10 +23,14 @@
     BINDID_TABLE = 0x0301
 
 
-MD5 = 1  # the security algorithm; 0 is none
+MD5 = 1  # security algorithm; 0 is none
 
 FIELD_SOURCES = (
-    ("header: version 1, reserved byte, type of 2 bytes, message length of 4 bytes with it", "memory"),
+    # what, source
+    (
+        "header: version 1, reserved byte, type of 2 bytes, message length of 4 bytes including the header",
+        "memory",
+    ),
     ("TLV: type and length of 2 bytes each, the length counting these 4", "memory"),
     (
         "messages: preference 0x0101, server state 0x0201, parameters 0x0301, BindID 0x0401 and 0x0402",
@@ -43,5 +47,5 @@
         "BindID table TLV 0x0301: port, protocol, flags, count, 2 reserved; entries of BindID, address, mask",
         "memory",
     ),
-    ("weights are preferences: more is better, 0 takes nothing new", "memory"),
+    ("weights are preferences: higher is preferred, 0 means no new connections", "memory"),
 )
--- a/garnetpaddle/dfp/session.py
+++ b/garnetpaddle/dfp/session.py
@@ -1,4 +1,4 @@
-"""One connection of a DFP manager: its group's advice, its drains, its keep-alive. No I/O."""
+"""One connection of a DFP manager: its group's advice, drains and keep-alives. No I/O."""
 
 import ipaddress
 
@@ -8,14 +8,14 @@
 from garnetpaddle.advice.session_events import NotifySession, WriteBytes, log_line
 from garnetpaddle.dfp import codec
 
-SECOND = 10_000
-KEEP_ALIVES_PER_PERIOD = 2  # one is sent when half of the manager's time has gone by
+SECOND = 10_000  # tenths of a ms
+KEEP_ALIVES_PER_PERIOD = 2  # a keep-alive is sent after half of the time that the manager allows
 LEASE_RETRY_PERIOD = SECOND // 2
 
 
 class Session(AdviceSession):
-    """configured_follower, group_name: the operator's, since this wire names neither; keep_alive: tenths of a
-    ms, None for none. The one group's members are all tasks that the draft can name."""
+    """configured_follower, group_name: from the operator's configuration, since the protocol carries neither;
+    keep_alive: tenths of a ms, or None. The group's members are all tasks that have an IPv4 address."""
 
     def __init__(
         self, registry, connection, min_update_interval, configured_follower, group_name, keep_alive, key, now
@@ -38,7 +38,7 @@
                 if fatal:
                     self.close(now, "unreadable, or its security is wrong", out)
             case codec.Parameters(keep_alive) if keep_alive is not None:
-                # 0 turns it off; a very short one would be a flood of our own making.
+                # 0 turns it off; the minimum keeps a short interval from flooding the manager.
                 self.keep_alive = max(keep_alive * SECOND, SECOND) if keep_alive else None
             case codec.BindIdRequest():
                 self.write(codec.encode(codec.BindIdReport(), self.key), out)
@@ -48,11 +48,11 @@
                 out.append(log_line("manager_state", follower=name, held_out=held_out))
 
     def check(self, now, out):
-        """Acquires the lease when it can, then checks and sends as every session does."""
+        """Acquires the lease when possible, then checks and sends as every session does."""
         if self.follower is None and not self.closed:
             self.try_acquire_lease(now, out)
         if self.follower is None and not self.closed:
-            # It waits for its lease beyond the time of unknown peers: the port itself says who it is.
+            # It may wait for its lease without a time limit, because the port identifies the follower.
             self.deadline = now + FIRST_MESSAGE_TIMEOUT
         if not self.closed:
             self.update_members(self.registry.snapshot)
@@ -60,16 +60,16 @@
         if any(isinstance(action, WriteBytes) for action in out):
             self.last_write_at = now
         if self.follower and self.keep_alive and now >= self.next_keep_alive_at():
-            # Nothing has changed: an empty message says that we are alive, and names nobody.
+            # Nothing has changed: an empty message serves as keep-alive.
             self.write(codec.encode(codec.Preference(), self.key), out)
             self.last_write_at = now
 
     def next_keep_alive_at(self):
-        """When the manager must have been written to."""
+        """Returns by when the manager must be sent something."""
         return self.last_write_at + self.keep_alive // KEEP_ALIVES_PER_PERIOD
 
     def try_acquire_lease(self, now, out):
-        """Acquires the lease as soon as it may."""
+        """Acquires the lease if the follower is allowed to."""
         if not self.initial_message_sent:
             self.initial_message_sent = True
             self.write(codec.encode(codec.Preference(), self.key), out)
@@ -92,7 +92,7 @@
         return None
 
     def update_members(self, snapshot):
-        """The members are the tasks of the list at IPv4 addresses."""
+        """Sets the members to the listed tasks at IPv4 addresses."""
         group = self.groups.get(self.group_name)
         if group is None or group.version == snapshot.generation:
             return
@@ -106,7 +106,7 @@
                 continue
             if key not in members or not record.closed():
                 members[key] = Member(key, record.address, task)
-        # A task that the list has forgotten stays until the manager has been sent its weight 0.
+        # A task that is no longer known stays until the manager has been sent weight 0 for it.
         last_sent = self.delivery.last_sent.get(self.group_name, {})
         for key, member in group.members.items():
             if key not in members and key in last_sent and last_sent[key].weight:
@@ -116,7 +116,7 @@
         group.members, group.version = members, snapshot.generation
 
     def encode_update(self, table, wanted, changed):
-        """A Preference message with all members."""
+        """Returns a Preference message with all members."""
         ports = {}
         for key, weight in wanted[self.group_name].items():
             ports.setdefault(key[1], []).append(codec.Host(key[0], weight.weight))
@@ -124,7 +124,7 @@
         return codec.encode(codec.Preference(loads), self.key)
 
     def extra_timers(self, now):
-        """The next attempt to acquire the lease, or the next keep-alive."""
+        """Returns the time of the next attempt to acquire the lease, or of the next keep-alive."""
         if self.follower is None:
             return (now + LEASE_RETRY_PERIOD,)
         return (self.next_keep_alive_at(),) if self.keep_alive else ()
--- a/garnetpaddle/fronts/__init__.py
+++ b/garnetpaddle/fronts/__init__.py
@@ -1,6 +1,6 @@
-"""Front ends for outside load balancers: sockets around the pure sessions of the advice protocols.
+"""Front ends for external load balancers: TCP servers around the I/O-free sessions of the advice protocols.
 
-They follow the book's snapshots, never block the decision loop, and send nothing to the platform's relay."""
+They read the published snapshots, never block the decision loop, and send nothing to the platform's relay."""
 
 from garnetpaddle.fronts.connection_manager import ConnectionManager
 from garnetpaddle.fronts.front_ends import FrontEnds
--- a/garnetpaddle/fronts/connection.py
+++ b/garnetpaddle/fronts/connection.py
@@ -1,36 +1,28 @@
-"""One client connection of a front end: its session, its decoder, and what its peer has acknowledged."""
+"""One client connection of a front end: its session, its decoder and its acknowledged bytes."""
 
 import asyncio
 import fcntl
 import struct
 import termios
 
-MIN_ACK_POLL_INTERVAL, MAX_ACK_POLL_INTERVAL = (
-    200,
-    3_200,
-)  # 20 ms, doubled to 0.32 s: until acknowledged bytes are read again
+# Tenths of a ms between reads of the acknowledged byte count: 20 ms, doubled up to 0.32 s.
+MIN_ACK_POLL_INTERVAL, MAX_ACK_POLL_INTERVAL = 200, 3_200
 
 
 class Connection:
-    """number: unique in its manager; decoder: bytes in, messages out; written: bytes of ours so far; acked:
-    those that the peer's machine has acknowledged."""
+    """number: unique in its manager; written: bytes written to the client so far; acked: how many of them its
+    TCP stack had acknowledged when last checked."""
 
     def __init__(self, number, reader, writer, session, decoder, now):
         self.number, self.reader, self.writer = number, reader, writer
         self.session, self.decoder, self.last_received_at = session, decoder, now
         self.sock, self.written, self.acked = writer.get_extra_info("socket"), 0, 0
-        self.ack_poll_interval, self.ack_poll_scheduled = (
-            MIN_ACK_POLL_INTERVAL,
-            False,
-        )  # tenths of a ms until the next look; one is due
+        self.ack_poll_interval, self.ack_poll_scheduled = MIN_ACK_POLL_INTERVAL, False
         self.session_timer_at, self.closing = None, False
-        self.input_queued_since, self.input_processed = (
-            None,
-            asyncio.Event(),
-        )  # since when input waits; it was processed
+        self.input_queued_since, self.input_processed = None, asyncio.Event()
 
     def acknowledged(self):
-        """Bytes that the peer's machine has acknowledged."""
+        """Returns how many bytes the client's TCP stack has acknowledged."""
         transport = self.writer.transport
         if transport.is_closing() or self.sock.fileno() < 0:
             return self.acked
@@ -38,18 +30,20 @@
         return self.written - self.unsent() - in_flight
 
     def unsent(self):
-        """Bytes that the transport has not yet handed to the system."""
+        """Returns how many bytes the transport has not yet passed to the kernel."""
         return self.writer.transport.get_write_buffer_size()
 
     def abort(self):
-        """Closes it at once."""
+        """Closes the connection at once, dropping unsent output."""
         self.closing = True
         self.writer.transport.abort()
         self.input_processed.set()
 
     def close(self):
-        """Takes no more input, and closes after what was written is handed to the system: whether the peer's
-        machine takes that is the system's affair. Aborts where the transport still holds output."""
+        """Stops reading, and closes after the kernel has taken all output.
+
+        Aborts if the transport still buffers output; whether the peer takes what the kernel has is not
+        awaited."""
         self.closing = True
         if self.unsent():
             self.abort()
--- a/garnetpaddle/fronts/connection_manager.py
+++ b/garnetpaddle/fronts/connection_manager.py
@@ -1,6 +1,6 @@
-"""All connections of all front ends: one limit, one timer queue, one pass over the sessions a snapshot.
+"""Manages the connections of all front ends, with one connection limit, one timer queue and one input queue.
 
-Pure transport; every decision is the sessions'."""
+Transport only; every protocol decision is made by the sessions."""
 
 import asyncio
 import collections
@@ -27,36 +27,33 @@
 from garnetpaddle.fronts.connection import MAX_ACK_POLL_INTERVAL, MIN_ACK_POLL_INTERVAL, Connection
 from garnetpaddle.fronts.timer_queue import TimerQueue
 
-READ_SIZE = 16 << 10  # bytes read at once: what a flood can make us handle in one go
-ACCEPTED_PER_ITERATION = 2  # connections accepted in one iteration of the loop
-ACCEPT_BACKLOG = (
-    1_024  # connections that may wait to be accepted: beyond it a connecting client hears nothing
-)
-# for seconds, and after a restart of ours all followers connect at once
-TIME_SLICE = 0.001  # s of handling sessions in one go, before other tasks have their turn
-MAX_QUEUED_TIME = 5_000  # 0.5 s that a follower's time limits wait for input of it that we have not read yet
+READ_SIZE = 16 << 10  # bytes per read; bounds the work that one chunk of a flood can cause
+ACCEPTED_PER_ITERATION = 2  # connections accepted per iteration of the event loop
+# After a restart all followers connect at once, and a client beyond the backlog gets no reply for seconds.
+ACCEPT_BACKLOG = 1_024
+TIME_SLICE = 0.001  # s of session work before other tasks of the event loop get their turn
+MAX_QUEUED_TIME = 5_000  # 0.5 s for which a follower's time limits wait for its queued input
 SESSION_TIMER, POLL_ACKS = "wake", "poll_acks"  # kinds of timers
 log = structlog.get_logger()
 
 
 class ConnectionManager:
-    """publisher: book.SnapshotPublisher; now: the clock, tenths of a ms; publish: receives events for the
-    Brain; capacity: the most connections; max_unread: bytes that a client may leave unread."""
+    """Accepts connections, and passes their input, timers and snapshots to their sessions.
+
+    publisher: book.SnapshotPublisher; now: the clock in tenths of a ms; publish: receives events for the
+    Brain; max_unread: bytes of output that may be buffered for one client."""
 
     def __init__(self, publisher, now, publish, max_connections, max_unread):
         self.publisher, self.now, self.publish = publisher, now, publish
         self.max_connections, self.max_unread = max_connections, max_unread
         self.connections, self.last_number, self.servers = {}, 0, []
-        self.input_queue, self.input_available = (
-            collections.deque(),
-            asyncio.Event(),
-        )  # (connection, chunk) in order
+        self.input_queue, self.input_available = collections.deque(), asyncio.Event()  # (connection, chunk)
         self.timers = TimerQueue(now, self.timer_expired)
 
     async def open(self, address, create_session):
         """Listens at (host, port) and returns the bound address.
 
-        begin(number, host, now) -> (session, decoder): called for each connection."""
+        create_session(number, host, now) -> (session, decoder) is called for each connection."""
         family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
         sock = socket.socket(family)
         try:
@@ -69,7 +66,7 @@
             server = await asyncio.start_server(
                 serve, sock=sock, backlog=ACCEPTED_PER_ITERATION, limit=READ_SIZE
             )
-            sock.listen(ACCEPT_BACKLOG)  # asyncio uses one figure for both
+            sock.listen(ACCEPT_BACKLOG)  # asyncio's backlog sets both this and the accepts
         except OSError:
             sock.close()
             raise
@@ -77,7 +74,7 @@
         return server.sockets[0].getsockname()[:2]
 
     def close(self):
-        """Stops listening and closes every connection."""
+        """Stops listening and aborts every connection."""
         for server in self.servers:
             server.close()
         for connection in list(self.connections.values()):
@@ -85,12 +82,14 @@
         self.timers.cancel()
 
     async def run(self):
-        """Distributes snapshots and processes input, for ever."""
+        """Distributes snapshots and processes input until cancelled."""
         await asyncio.gather(self.distribute_snapshots(), self.process_inputs())
 
     async def process_inputs(self):
-        """Handles clients' input in its order, in slices of time: hundreds of clients that speak at once (all
-        register after a restart) delay neither the platform's channel nor a drain."""
+        """Handles the clients' input in order of arrival, in time slices.
+
+        Hundreds of clients that send at once, such as registrations after a restart, thus delay neither the
+        platform's channel nor drains."""
         while True:
             await self.input_available.wait()
             self.input_available.clear()
@@ -103,7 +102,7 @@
                     slice_start = time.monotonic()
 
     async def distribute_snapshots(self):
-        """Hands each newer snapshot to every session; those published meanwhile wait for the next pass."""
+        """Passes each newer snapshot to every session; those published meanwhile wait for the next pass."""
         generation = 0
         while True:
             snapshot = await self.publisher.wait_newer(generation)
@@ -114,11 +113,12 @@
                     await asyncio.sleep(0)
                     slice_start = time.monotonic()
                 connection = self.connections.get(number)
-                if connection and connection.input_queued_since is None:  # else it follows after its input
+                # A connection with queued input gets the snapshot after its input.
+                if connection and connection.input_queued_since is None:
                     self.dispatch(connection, SnapshotPublished(self.publisher.snapshot))
 
     async def serve(self, reader, writer, create_session):
-        """Serves one connection to its end."""
+        """Serves one connection until it ends."""
         self.last_number += 1
         now, number = self.now(), self.last_number
         host = (writer.get_extra_info("peername") or ("",))[0]
@@ -143,7 +143,7 @@
             connection.abort()
 
     async def read(self, connection):
-        """Queues a connection's input, one chunk at a time: a closed connection is not waited for."""
+        """Queues a connection's input, one chunk at a time, until it is closed."""
         while not connection.closing and (chunk := await connection.reader.read(READ_SIZE)):
             connection.last_received_at = connection.input_queued_since = self.now()
             self.input_queue.append((connection, chunk))
@@ -152,7 +152,7 @@
             await connection.input_processed.wait()
 
     def process_input(self, connection, chunk):
-        """Decodes a chunk and hands its messages to the session; an error ends this connection alone."""
+        """Decodes a chunk and passes its messages to the session; an error ends only this connection."""
         try:
             if (waited := self.now() - connection.input_queued_since) > 0:
                 self.dispatch(connection, InputDelayed(waited))
@@ -169,7 +169,7 @@
         connection.input_processed.set()
 
     def dispatch(self, connection, *events):
-        """Hands events to a session and executes its actions; an error ends this connection alone."""
+        """Passes events to a session and executes its actions; an error ends only this connection."""
         for event in events:
             if connection.closing:
                 return
@@ -180,7 +180,6 @@
                 connection.abort()
 
     def execute(self, connection, actions):
-        """Carries out a session's actions."""
         for action in actions:
             match action:
                 case WriteBytes(data):
@@ -199,7 +198,7 @@
                     connection.close()
 
     def write(self, connection, data):
-        """Writes to a client, unless it leaves too much unread, and begins to look for acknowledgements."""
+        """Writes to a client and starts polling for acknowledgements; closes it if too much is unread."""
         connection.written += len(data)
         connection.writer.write(data)
         if connection.unsent() > self.max_unread:
@@ -210,12 +209,12 @@
             self.timers.add(self.now() + MIN_ACK_POLL_INTERVAL, connection.number, POLL_ACKS)
 
     def notify(self, number):
-        """Another session has changed what this connection's session must look at."""
+        """Makes this connection's session check for changes that another session made."""
         if connection := self.connections.get(number):
             self.dispatch(connection, SnapshotPublished(self.publisher.snapshot))
 
     def timer_expired(self, timer, now):
-        """A timer is due. Outdated ones, of closed connections or replaced times, are ignored."""
+        """Handles an expired timer; ignores outdated ones, of closed connections or replaced times."""
         connection = self.connections.get(timer.connection)
         if connection is None or connection.closing:
             return
@@ -231,14 +230,16 @@
             self.dispatch(connection, TimerExpired())
 
     def must_wait_for_input(self, connection, now):
-        """Whether a session's time limits wait for its queued input."""
+        """Returns whether a session's time limits must wait until its queued input is processed."""
         if connection.input_queued_since is None:
             return False
         return connection.session.follower is None or now - connection.input_queued_since < MAX_QUEUED_TIME
 
     def poll_acknowledged(self, connection, now):
-        """Tells the session of newly acknowledged bytes. The system does not notify us of them, so we look
-        again, at growing intervals, until all are acknowledged."""
+        """Tells the session of newly acknowledged bytes.
+
+        The kernel does not report them, so they are polled at growing intervals until all are
+        acknowledged."""
         acknowledged = connection.acknowledged()
         if acknowledged > connection.acked:
             connection.acked, connection.ack_poll_interval = acknowledged, MIN_ACK_POLL_INTERVAL
@@ -250,11 +251,11 @@
             self.timers.add(now + connection.ack_poll_interval, connection.number, POLL_ACKS)
 
     def enforce_connection_limit(self, connection):
-        """Above the capacity closes the client that follows nothing and was silent longest."""
+        """Above the connection limit, closes the client without a lease that was silent for longest."""
         if len(self.connections) <= self.max_connections:
             return
         others = [x for x in self.connections.values() if x.session.follower is None and x is not connection]
-        longest = min(others, key=lambda x: (x.last_received_at, x.number), default=connection)
+        longest_silent = min(others, key=lambda x: (x.last_received_at, x.number), default=connection)
         log.warning("stranger_dropped", connections=self.max_connections)
-        self.connections.pop(longest.number, None)
-        longest.abort()
+        self.connections.pop(longest_silent.number, None)
+        longest_silent.abort()
--- a/garnetpaddle/fronts/front_ends.py
+++ b/garnetpaddle/fronts/front_ends.py
@@ -1,4 +1,4 @@
-"""The front ends of the operator's configuration: listeners for load balancers, fed by the decision loop."""
+"""Front ends of the operator's configuration: listeners for load balancers, updated by the decision loop."""
 
 import structlog
 
@@ -12,19 +12,19 @@
 from garnetpaddle.fronts.connection_manager import ConnectionManager
 from garnetpaddle.operator.configuration import uid_of
 
-EFFECTS = {"free": "repeatable", "guarded": "keyed"}  # the settings' values; any other counts as mutating
+EFFECTS = {"free": "repeatable", "guarded": "keyed"}  # value in the settings; any other counts as mutating
 BYTES_PER_KIB_SHIFT = 10
 log = structlog.get_logger()
 
 
 def split_address(text):
-    """host:port as (host, port)."""
+    """Splits host:port into (host, port)."""
     host, _, port = text.rpartition(":")
     return host.strip("[]"), int(port)
 
 
 def session_registry_of(configuration, settings, terms, started_at):
-    """The sessions' registry under the operator's and the platform's configuration.
+    """Builds the sessions' registry from the operator's and the platform's configuration.
 
     configuration: operator.OperatorConfiguration; settings: boot.Settings; terms: interface.Terms."""
     routes = {c.name: k for k, c in enumerate(settings.categories)}
@@ -41,10 +41,10 @@
 
 
 class FrontEnds:
-    """One assigner's front ends.
+    """The front ends of one assigner.
 
     configuration: operator.OperatorConfiguration; task_addresses: an object whose by_task maps tasks to
-    (host, port); now: the clock, tenths of a ms; publish: receives events for the Brain."""
+    (host, port); now: the clock in tenths of a ms; publish: receives events for the Brain."""
 
     def __init__(self, configuration, settings, terms, task_addresses, now, publish):
         self.configuration, self.task_addresses, self.published_addresses = (
@@ -61,10 +61,10 @@
         self.addresses, self.failed = {}, False
 
     def follow(self, now, events, orders):
-        """Called by the decision loop after each batch: publishes what follows from it.
+        """Publishes the snapshot after a batch; called by the decision loop after each one.
 
-        An error here must not end the assigner. Nor may followers go by a snapshot that is not updated any
-        more, since drains would be kept from them: the front ends close, and their followers leave."""
+        An error here must not end the assigner. But a snapshot that is no longer updated would hide drains
+        from the followers, so the front ends are closed and their followers leave."""
         if self.failed:
             return
         try:
@@ -79,14 +79,14 @@
 
     @staticmethod
     def platform_orders(reply):
-        """The orders of a reply that go to the platform's relay; none if only seals would remain of it."""
+        """Returns the orders of a reply that go to the platform's relay; none if only seals would be left."""
         kept = [o for o in reply if not (isinstance(o, gp.Bind) and o.proxy >= FIRST_FOLLOWER_NUMBER)]
         if len(kept) < len(reply) and all(isinstance(o, gp.Seal) for o in kept):
             return []
         return kept
 
     async def open(self):
-        """Opens every listener; raises OSError with the block's name in it."""
+        """Opens all listeners; raises OSError with the name of the configuration block."""
         max_message = self.configuration.limits.message_kib << BYTES_PER_KIB_SHIFT
         for front in self.configuration.sasp:
             self.addresses[front.name] = await self.listen(front, self.sasp_sessions(front, max_message))
@@ -103,7 +103,7 @@
         return at
 
     def sasp_sessions(self, front, max_message):
-        """A function that begins a SASP session; see ConnectionManager.open."""
+        """Returns a function that creates a SASP session; see ConnectionManager.open."""
 
         def create_session(number, host, now):
             session = sasp.Session(
@@ -120,7 +120,7 @@
         return create_session
 
     def dfp_sessions(self, front, max_message):
-        """A function that begins a DFP session; see ConnectionManager.open."""
+        """Returns a function that creates a DFP session; see ConnectionManager.open."""
         follower = next(c for c in self.registry.followers.values() if c.name == front.follower)
         key = None
         if front.secret_file:
@@ -143,9 +143,9 @@
         return create_session
 
     async def run(self):
-        """Serves the connections, for ever."""
+        """Serves the connections until cancelled."""
         await self.manager.run()
 
     def close(self):
-        """Closes every listener and connection."""
+        """Closes all listeners and connections."""
         self.manager.close()
--- a/garnetpaddle/fronts/timer_queue.py
+++ b/garnetpaddle/fronts/timer_queue.py
@@ -1,4 +1,4 @@
-"""Timers of many connections on one event loop timer."""
+"""Multiplexes the timers of many connections onto one event loop timer."""
 
 import asyncio
 import heapq
@@ -8,7 +8,7 @@
 
 
 class Timer(NamedTuple):
-    """The serial keeps timers of one moment in the order in which they were set."""
+    """sequence: keeps timers with the same time in the order in which they were set."""
 
     at: int
     sequence: int
@@ -17,7 +17,7 @@
 
 
 class TimerQueue:
-    """Calls expired(timer) for each timer that is due. now: the clock, tenths of a ms."""
+    """Calls expired(timer, now) for each timer that is due. now: the clock in tenths of a ms."""
 
     def __init__(self, now, expired):
         self.now, self.expired = now, expired
@@ -27,20 +27,20 @@
         return bool(self.timers)
 
     def add(self, at, connection, kind):
-        """Sets a timer; timers are never removed, so `expired` has to ignore outdated ones."""
+        """Adds a timer; timers are never removed, so `expired` must ignore outdated ones."""
         self.sequence += 1
         heapq.heappush(self.timers, Timer(at, self.sequence, connection, kind))
         if self.timers[0].sequence == self.sequence:
             self.schedule()
 
     def schedule(self):
-        """Sets the event loop's timer to the first one due."""
+        """Sets the event loop's timer to the earliest timer."""
         self.cancel()
         wait = max(0.0, (self.timers[0].at - self.now()) / TENTHS_OF_MS_PER_SECOND)
         self.loop_timer = asyncio.get_running_loop().call_later(wait, self.run_due)
 
     def run_due(self):
-        """Handles every timer that is due now."""
+        """Handles every timer that is due."""
         self.loop_timer, now = None, self.now()
         while self.timers and self.timers[0].at <= now:
             self.expired(heapq.heappop(self.timers), now)
@@ -48,6 +48,6 @@
             self.schedule()
 
     def cancel(self):
-        """Stops the event loop's timer."""
+        """Cancels the event loop's timer."""
         if self.loop_timer:
             self.loop_timer.cancel()
--- a/garnetpaddle/sasp/codec.py
+++ b/garnetpaddle/sasp/codec.py
@@ -1,6 +1,6 @@
 """Encoding and decoding of the messages of RFC 4678. No I/O.
 
-What cannot be decoded is a value, InvalidMessage, with the id to answer to."""
+A message that cannot be decoded yields an InvalidMessage with the id to reply to."""
 
 import struct
 from dataclasses import dataclass
@@ -21,16 +21,18 @@
 HEADER = struct.Struct("!HHBII")  # section 5.1: type, length, version, message length, message id
 COMPONENT_HEAD = struct.Struct("!HH")  # type and length of a component
 MEMBER = struct.Struct("!HHBH16sB")  # section 5.2, up to the label
-ENTRY = struct.Struct("!HHBBH")  # section 5.4, what is not the member
-STATE = struct.Struct("!HHBB")  # section 5.5, likewise
+ENTRY = struct.Struct("!HHBBH")  # weight entry without its member data, section 5.4
+STATE = struct.Struct("!HHBB")  # member state entry without its member data, section 5.5
 MESSAGE_TYPES = frozenset(MessageType)
-MAX_LENGTH = 0xFFFF  # of a component's length
+MAX_LENGTH = 0xFFFF  # largest 16-bit length or count
 
 
 @dataclass(frozen=True, slots=True)
 class InvalidMessage:
-    """A message that cannot be decoded. id: of the message, None if not even a header was read; over: the
-    stream is lost with it, as the next message cannot be found."""
+    """A message that cannot be decoded.
+
+    id: the message's id, or None if no valid header was read; fatal: the stream cannot be decoded further,
+    because the start of the next message is unknown."""
 
     why: str
     id: int | None = None
@@ -39,22 +41,24 @@
 
 
 class DecodeError(ValueError):
-    """A component is malformed; the message says why."""
+    """A component is malformed; the text says why."""
 
 
 class EncodeError(ValueError):
-    """A message whose values the wire has no room for."""
+    """A message has values that do not fit into their fields."""
 
 
 class MessageDecoder:
-    """Decodes a stream of bytes. most: bytes of the longest message accepted; a longer one, or an invalid
-    header, yields InvalidMessage(over=True), and nothing is read after it. Never holds more than that."""
+    """Decodes a stream of bytes.
+
+    max_size: bytes of the longest message accepted, and the most that is buffered. A longer message or an
+    invalid header yields InvalidMessage(fatal=True), after which no more input is decoded."""
 
     def __init__(self, max_size):
         self.max_size, self.buffer, self.failed = max_size, bytearray(), False
 
     def feed(self, chunk):
-        """The messages that this chunk completes, as Message or InvalidMessage."""
+        """Yields the messages that this chunk completes, as Message or InvalidMessage."""
         if self.failed:
             return
         self.buffer += chunk
@@ -84,18 +88,19 @@
         del self.buffer[:offset]
 
     def has_partial_message(self):
-        """Whether a message has begun and not ended."""
+        """Returns whether the input so far ends within a message."""
         return bool(self.buffer)
 
 
 class Cursor:
-    """Reads components in turn; every length is checked against the bytes available."""
+    """Reads consecutive components; every length is checked against the bytes available.
+
+    inclusive_lengths: a length that includes nested components was found."""
 
     def __init__(self, data):
         self.data, self.offset, self.inclusive_lengths = data, 0, False
 
     def unpack(self, layout):
-        """Unpacks a struct."""
         if self.offset + layout.size > len(self.data):
             raise DecodeError(f"cut short at byte {self.offset}")
         values = layout.unpack_from(self.data, self.offset)
@@ -103,14 +108,13 @@
         return values
 
     def read_bytes(self, count):
-        """The next bytes."""
         if self.offset + count > len(self.data):
             raise DecodeError(f"cut short at byte {self.offset}")
         self.offset += count
         return bytes(self.data[self.offset - count : self.offset])
 
     def read_component_head(self, component_type):
-        """The beginning and stated length of a component of this type."""
+        """Reads the head of a component of this type; returns its start and its stated length."""
         start = self.offset
         found, length = self.unpack(COMPONENT_HEAD)
         if found != component_type:
@@ -118,7 +122,9 @@
         return start, length
 
     def check_length(self, start, length, own_length):
-        """Checks the length of a component that ends here: that of its own fields, or of nested ones too."""
+        """Checks the stated length of a component that ends here.
+
+        own_length: its length without nested components; a length that includes them is valid too."""
         if length == own_length:
             return
         if length != self.offset - start:
@@ -127,7 +133,7 @@
 
 
 def decode(data, message_id):
-    """Decodes a message behind its header: Message or InvalidMessage."""
+    """Decodes a message after its header: Message or InvalidMessage."""
     message_type = None
     try:
         message_type = int.from_bytes(data[:2], "big")
@@ -187,7 +193,7 @@
 
 
 def read_group_with_items(cursor, component_type, read_item):
-    """A group with its items."""
+    """Reads a group and its items."""
     start, length = cursor.read_component_head(component_type)
     (count,) = cursor.unpack(COUNT)
     group = read_group(cursor)
@@ -197,12 +203,10 @@
 
 
 def read_groups_with_items(cursor, count, component_type, read_item):
-    """Several groups with their items."""
     return tuple(read_group_with_items(cursor, component_type, read_item) for _ in range(count))
 
 
 def read_register(cursor, message_id, start, length):
-    """A registration."""
     flags, count = cursor.unpack(struct.Struct("!BH"))
     groups = read_groups_with_items(cursor, count, ComponentType.MEMBERS_OF_GROUP, read_member)
     cursor.check_length(start, length, 7)
@@ -210,7 +214,6 @@
 
 
 def read_deregister(cursor, message_id, start, length):
-    """A deregistration."""
     flags, reason, count = cursor.unpack(struct.Struct("!BBH"))
     groups = read_groups_with_items(cursor, count, ComponentType.MEMBERS_OF_GROUP, read_member)
     cursor.check_length(start, length, 8)
@@ -218,7 +221,6 @@
 
 
 def read_get_weights(cursor, message_id, start, length):
-    """A request for weights."""
     (count,) = cursor.unpack(COUNT)
     groups = tuple(read_group(cursor) for _ in range(count))
     cursor.check_length(start, length, 6)
@@ -226,7 +228,6 @@
 
 
 def read_weights_reply(cursor, message_id, start, length):
-    """The answer to a request for weights."""
     code, interval, count = cursor.unpack(struct.Struct("!BHH"))
     groups = read_groups_with_items(cursor, count, ComponentType.WEIGHTS_OF_GROUP, read_weight_entry)
     cursor.check_length(start, length, 9)
@@ -234,7 +235,6 @@
 
 
 def read_send_weights(cursor, message_id, start, length):
-    """Weights that the manager sends by itself."""
     (count,) = cursor.unpack(COUNT)
     groups = read_groups_with_items(cursor, count, ComponentType.WEIGHTS_OF_GROUP, read_weight_entry)
     cursor.check_length(start, length, 6)
@@ -242,7 +242,6 @@
 
 
 def read_lb_state(cursor, message_id, start, length):
-    """A balancer's state."""
     uid = cursor.read_bytes(cursor.read_bytes(1)[0])
     health, flags = cursor.unpack(STATE_REST)
     cursor.check_length(start, length, cursor.offset - start)
@@ -258,7 +257,6 @@
 
 
 def read_member_state(cursor, message_id, start, length):
-    """Members' states."""
     flags, count = cursor.unpack(struct.Struct("!BH"))
     groups = read_groups_with_items(cursor, count, ComponentType.STATES_OF_GROUP, read_state_entry)
     cursor.check_length(start, length, 7)
@@ -266,7 +264,7 @@
 
 
 def read_reply(message_type):
-    """A reader of replies of this kind."""
+    """Returns a reader of replies of this type."""
 
     def read(cursor, message_id, start, length):
         (code,) = cursor.read_bytes(1)
@@ -296,7 +294,7 @@
 
 
 def encode_component(component_type, fields, nested, inclusive_lengths):
-    """A component as bytes. own: its fields behind the length; inner: components nested in it, as bytes."""
+    """Encodes a component. fields: its own fields after the length; nested: the components inside it."""
     length = COMPONENT_HEAD.size + len(fields) + (len(nested) if inclusive_lengths else 0)
     if length > MAX_LENGTH:
         raise EncodeError(f"a component of {length} bytes, where 65535 are the most")
@@ -304,7 +302,7 @@
 
 
 def encode_member(value):
-    """A member as bytes, which also identify it within a group."""
+    """Encodes a member; the bytes also serve as its key within a group."""
     if len(value.label) > 255:
         raise EncodeError("a label over 255 bytes")
     size = MEMBER.size + len(value.label)
@@ -315,7 +313,6 @@
 
 
 def encode_group_name(value):
-    """A group's name as bytes."""
     if len(value.uid) > 255 or len(value.name) > 255:
         raise EncodeError("a name over 255 bytes")
     fields = bytes([len(value.uid)]) + value.uid + bytes([len(value.name)]) + value.name
@@ -323,7 +320,7 @@
 
 
 def encode_weight_entry(encoded_member, state, flags, weight, inclusive_lengths):
-    """A weight entry as bytes; of: the member's bytes."""
+    """Encodes a weight entry. encoded_member: from encode_member."""
     length = ENTRY.size + (len(encoded_member) if inclusive_lengths else 0)
     return (
         COMPONENT_HEAD.pack(ComponentType.WEIGHT_ENTRY, length)
@@ -333,7 +330,6 @@
 
 
 def encode_state_entry(value, inclusive_lengths):
-    """A member's state as bytes."""
     encoded_member = encode_member(value.member)
     length = STATE.size + (len(encoded_member) if inclusive_lengths else 0)
     return (
@@ -344,7 +340,7 @@
 
 
 def encode_group_component(component_type, name, count, items, inclusive_lengths):
-    """A group with its items, given as bytes and their count."""
+    """Encodes a group with its `count` encoded items."""
     if count > MAX_LENGTH:
         raise EncodeError("over 65535 members")
     return encode_component(
@@ -353,7 +349,6 @@
 
 
 def encode_member_groups(groups, inclusive_lengths):
-    """Groups of members as bytes."""
     return [
         encode_group_component(
             ComponentType.MEMBERS_OF_GROUP,
@@ -367,7 +362,6 @@
 
 
 def encode_weight_groups(groups, inclusive_lengths):
-    """Groups of weight entries as bytes."""
     return [
         encode_group_component(
             ComponentType.WEIGHTS_OF_GROUP,
@@ -384,13 +378,13 @@
 
 
 def frame(message_id, message_type, fields, nested, inclusive_lengths):
-    """A whole message as bytes. own, inner: as in component; inner: a list."""
+    """Encodes a whole message. fields: as in encode_component; nested: a list of encoded components."""
     body = encode_component(message_type, fields, b"".join(nested), inclusive_lengths)
     return HEADER.pack(ComponentType.HEADER, HEADER.size, VERSION, HEADER.size + len(body), message_id) + body
 
 
 def encode_weights_reply(message_id, code, interval, groups, inclusive_lengths):
-    """Get Weights' reply. groups: as bytes, made by group_component."""
+    """Encodes the reply to Get Weights. groups: from encode_group_component."""
     return frame(
         message_id,
         MessageType.WEIGHTS,
@@ -401,12 +395,12 @@
 
 
 def encode_send_weights(message_id, groups, inclusive_lengths):
-    """Send Weights. groups: as bytes, made by group_component."""
+    """Encodes Send Weights. groups: from encode_group_component."""
     return frame(message_id, MessageType.SEND_WEIGHTS, COUNT.pack(len(groups)), groups, inclusive_lengths)
 
 
 def encode(message):
-    """A message as bytes; raises CannotEncode."""
+    """Encodes a message; raises EncodeError."""
     inclusive_lengths = message.inclusive_lengths
     match message:
         case m.Reply():
@@ -474,7 +468,7 @@
 
 
 def encode_not_understood_reply(invalid):
-    """The reply to an invalid message, of its kind; b"" if it has no id."""
+    """Encodes the reply to an invalid message, of the matching type; b"" if the message has no id."""
     if invalid.id is None:
         return b""
     if invalid.message_type == MessageType.GET_WEIGHTS:
--- a/garnetpaddle/sasp/constants.py
+++ b/garnetpaddle/sasp/constants.py
@@ -1,10 +1,9 @@
 """The numbers of RFC 4678 (SASP version 1).
 
-They are recalled, not read: the text of the RFC could not be had where this was written. The table says
-of each how sure that is. "shape": follows from other facts (lengths that add up, counts of 16 bits);
-"memory": from memory alone, could not be checked. Whoever has the RFC at hand should compare them all
-before serving a balancer of another maker; nothing but this file and `codec` would change.
-"""
+They were written down from memory, without access to the text of the RFC. FIELD_SOURCES says for each how
+reliable it is: "shape" follows from other facts (lengths that add up, counts of 16 bits); "memory" could not
+be checked. Compare them all with the RFC before serving another vendor's load balancer; a correction would
+change only this file and `codec`."""
 
 from enum import IntEnum
 
@@ -13,7 +12,7 @@
 
 
 class MessageType(IntEnum):
-    """Types of messages, section 6."""
+    """Message types, section 6."""
 
     REGISTER, REGISTER_REPLY = 0x1010, 0x1015
     DEREGISTER, DEREGISTER_REPLY = 0x1020, 0x1025
@@ -24,7 +23,7 @@
 
 
 class ComponentType(IntEnum):
-    """Types of components, section 5."""
+    """Component types, section 5."""
 
     HEADER = 0x2010
     MEMBER, GROUP, WEIGHT_ENTRY, STATE_ENTRY = 0x3010, 0x3011, 0x3012, 0x3013
@@ -32,49 +31,49 @@
 
 
 class ResponseCode(IntEnum):
-    """Response codes, with each reply's section."""
+    """Response codes; those from 0x40 on belong to one kind of reply."""
 
     SUCCESS = 0x00
     NOT_UNDERSTOOD = 0x10
     NOT_ACCEPTED = 0x11  # the GWM will not accept this message from the sender
-    MEMBER_REGISTERED = 0x40  # already
-    DUPLICATE_MEMBER = 0x41  # in the request
+    MEMBER_REGISTERED = 0x40  # the member is registered already
+    DUPLICATE_MEMBER = 0x41  # within the request
     INVALID_GROUP = 0x42
     INVALID_GROUP_NAME_SIZE = 0x43  # 0
-    INVALID_LB_UID_SIZE = 0x44  # 0 or over the most
-    LB_UNKNOWN_YET = 0x45  # a member registers itself, and its balancer has not contacted the GWM
+    INVALID_LB_UID_SIZE = 0x44  # 0 or over the maximum
+    LB_UNKNOWN_YET = 0x45  # a member registers itself before its balancer has contacted the GWM
     MEMBER_NOT_REGISTERED = 0x50
     UNKNOWN_GROUP = 0x51
     UNKNOWN_LB_UID = 0x52
     DUPLICATE_IN_REQUEST = 0x53  # a member or a group
-    LB_UNKNOWN_YET_DEREGISTER = 0x61  # a member deregisters itself likewise
+    LB_UNKNOWN_YET_DEREGISTER = 0x61  # a member deregisters itself before its balancer has contacted the GWM
     NOT_TRUSTED = 0x63  # the balancer has turned the trust flag off
 
 
-LB_FLAG = 0x01  # of a registration, deregistration, member state: the balancer sends it
+LB_FLAG = 0x01  # of a registration, deregistration or member state: sent by the load balancer
 REASON_LEARNED = 0x01  # of a deregistration: learned and purposeful; 0: no reason
 PUSH, TRUST, NO_CHANGE = 0x01, 0x02, 0x04  # flags of Set LB State
 CONTACT, QUIESCE, REGISTERED, CONFIDENT = 0x01, 0x02, 0x04, 0x08  # flags of a weight entry
 STATE_QUIESCED = 0x01  # flag of a member state entry
 
 FIELD_SOURCES = (
-    # what, section, how sure
+    # what, section, source
     ("header: type 0x2010, length 13, version, message length of 4 bytes, message id of 4", "5.1", "shape"),
     ("components begin with a type and a length of 2 bytes each, the length counting these 4", "5", "memory"),
     (
-        "a length leaves out components nested in this one; a peer that counts them is answered in kind",
+        "a length excludes nested components; a peer that includes them is answered in the same form",
         "5",
         "memory",
     ),
-    ("kinds of messages 0x1010 to 0x1065", "6", "memory"),
+    ("message types 0x1010 to 0x1065", "6", "memory"),
     ("Send Weights has no reply", "6.4", "memory"),
-    ("types of components 0x3010 to 0x4012", "5", "memory"),
+    ("component types 0x3010 to 0x4012", "5", "memory"),
     (
-        "member data: protocol, port, address of 16 bytes with IPv4 mapped, label behind its length",
+        "member data: protocol, port, address of 16 bytes with IPv4 mapped, label after its length",
         "5.2",
         "memory",
     ),
-    ("group data: LB UID and group name, each behind a length of 1 byte", "5.3", "memory"),
+    ("group data: LB UID and group name, each after a length of 1 byte", "5.3", "memory"),
     ("weight entry: member data, then opaque state, flags, weight of 2 bytes", "5.4", "memory"),
     ("member state entry: member data, then opaque state and flags", "5.5", "memory"),
     (
@@ -83,7 +82,7 @@
         "memory",
     ),
     (
-        "Set LB State: LB UID behind its length, health of 1 byte, flags 1 push, 2 trust, 4 no change",
+        "Set LB State: LB UID after its length, health of 1 byte, flags 1 push, 2 trust, 4 no change",
         "6.5",
         "memory",
     ),
--- a/garnetpaddle/sasp/messages.py
+++ b/garnetpaddle/sasp/messages.py
@@ -1,4 +1,4 @@
-"""The messages of RFC 4678 as values. Bytes as they are on the wire where they only name something."""
+"""The messages of RFC 4678 as values. Names, labels and addresses are kept as the bytes on the wire."""
 
 import functools
 import ipaddress
@@ -11,7 +11,9 @@
 
 @functools.lru_cache(maxsize=16_384)
 def host_from_bytes(address):
-    """16 bytes as the list writes them; followers by hundreds name the same tasks."""
+    """Formats a 16-byte address as the task list does.
+
+    Cached, because hundreds of followers name the same tasks."""
     ip = ipaddress.IPv6Address(address)
     ipv4_compatible = address[:12] == bytes(12) and address[12:15] != bytes(3)
     if ip.ipv4_mapped or ipv4_compatible:
@@ -21,29 +23,29 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberData:
-    """Section 5.2. address: 16 bytes, IPv4 mapped (or compatible, as some write it)."""
+    """Section 5.2. address: 16 bytes; IPv4 is mapped, or IPv4-compatible as some peers write it."""
 
-    protocol: int  # as in IP: 6 is TCP
+    protocol: int  # IP protocol number; 6 is TCP
     port: int
     address: bytes
     label: bytes = b""
 
     @classmethod
     def of(cls, host, port, label="", protocol=6):
-        """host: an IPv4 or IPv6 address in text; raises ValueError."""
+        """Builds it from a textual IPv4 or IPv6 address; raises ValueError."""
         ip = ipaddress.ip_address(host)
         packed = IPV4_MAPPED_PREFIX + ip.packed if ip.version == 4 else ip.packed
         return cls(protocol, port, packed, label.encode())
 
     @property
     def endpoint(self):
-        """(host, port) as the list writes it."""
+        """(host, port) in the form of the task list."""
         return host_from_bytes(self.address), self.port
 
 
 @dataclass(frozen=True, slots=True)
 class GroupName:
-    """Group data, section 5.3: a group belongs to a balancer."""
+    """Group data, section 5.3: the owning load balancer's UID and the group's name."""
 
     uid: bytes
     name: bytes
@@ -73,19 +75,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Register:
-    """Members join groups."""
+    """Adds members to groups."""
 
     id: int
     lb: bool
     groups: MemberGroups
-    inclusive_lengths: bool = field(
-        default=False, compare=False
-    )  # its lengths count what is nested; see constants
+    inclusive_lengths: bool = field(default=False, compare=False)  # lengths include nested components
 
 
 @dataclass(frozen=True, slots=True)
 class Deregister:
-    """Members, groups or everything leave."""
+    """Removes members, whole groups or everything."""
 
     id: int
     lb: bool
@@ -96,7 +96,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GetWeights:
-    """Asks for the weights of groups; of all without any."""
+    """Requests the weights of these groups, or of all groups if none is named."""
 
     id: int
     groups: tuple[GroupName, ...]
@@ -105,7 +105,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SetLbState:
-    """How a balancer wants to be served."""
+    """Sets how a load balancer wants to be served."""
 
     id: int
     uid: bytes
@@ -118,7 +118,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SetMemberState:
-    """Members are quiesced or opened."""
+    """Quiesces members or ends that."""
 
     id: int
     lb: bool
@@ -132,14 +132,14 @@
 
     id: int
     code: ResponseCode | int
-    interval: int  # s
+    interval: int  # s until the next poll
     groups: tuple[tuple[GroupName, tuple[WeightEntry, ...]], ...]
     inclusive_lengths: bool = field(default=False, compare=False)
 
 
 @dataclass(frozen=True, slots=True)
 class SendWeights:
-    """Weights that the manager sends by itself."""
+    """Weights that the manager pushes."""
 
     id: int
     groups: tuple[tuple[GroupName, tuple[WeightEntry, ...]], ...]
@@ -148,7 +148,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """A reply that holds a code alone. kind: Kind.*_REPLY but WEIGHTS."""
+    """A reply that holds only a code. message_type: any reply type but WEIGHTS."""
 
     id: int
     message_type: MessageType
--- a/garnetpaddle/sasp/session.py
+++ b/garnetpaddle/sasp/session.py
@@ -1,4 +1,4 @@
-"""One connection to the group workload manager: the requests of RFC 4678 and their effects. No I/O."""
+"""One connection of a load balancer or a member: the requests of RFC 4678 and their effects. No I/O."""
 
 from dataclasses import dataclass, replace
 from typing import NamedTuple
@@ -11,22 +11,22 @@
 from garnetpaddle.sasp import messages as m
 from garnetpaddle.sasp.constants import CONFIDENT, CONTACT, QUIESCE, REGISTERED, MessageType, ResponseCode
 
-TCP, ANY_PROTOCOL = 6, 0  # protocols of a member
-POLLS_PER_GRACE_PERIOD = 3  # one to hear of a drain, one to show that it was taken, one to spare
-SECOND = 10_000
-MIN_POLL_INTERVAL = 1  # s: between polls while there are no weights yet
+TCP, ANY_PROTOCOL = 6, 0  # a member's protocol
+POLLS_PER_GRACE_PERIOD = 3  # one to learn of a drain, one to confirm it, one to spare
+SECOND = 10_000  # tenths of a ms
+MIN_POLL_INTERVAL = 1  # s; also used while there are no weights yet
 MAX_MESSAGE_ID = 0xFFFF_FFFF
 
 
 @dataclass(slots=True)
 class BalancerGroup(FollowedGroup):
-    """A group that the balancer has registered."""
+    """A group that the load balancer has registered."""
 
     name: m.GroupName = None
 
 
 class PollState(NamedTuple):
-    """What the answer to a poll depends on."""
+    """The state on which the reply to a poll depends."""
 
     generation: int
     version: tuple[int, ...]
@@ -44,7 +44,9 @@
 
 @dataclass(frozen=True, slots=True)
 class EncodedEntries:
-    """Entries as bytes. keep_alive: the objects by whose ids they are cached, so that the ids stay theirs."""
+    """Entries as bytes.
+
+    held_references: the objects whose ids are the cache key; held so that the ids are not reused."""
 
     count: int
     data: bytes
@@ -52,7 +54,7 @@
 
 
 class RequestRefused(Exception):
-    """A request is refused: the code to answer with, and the reason for the log."""
+    """A request is refused. code: for the reply; why: the reason for the log."""
 
     def __init__(self, code, why):
         super().__init__(why)
@@ -60,8 +62,9 @@
 
 
 class Session(AdviceSession):
-    """interval: tenths of a ms between polls as the operator wants them; max_members: of one follower; host:
-    the peer's address, since a member may speak for itself alone."""
+    """interval: the operator's poll interval in tenths of a ms; max_members: of one follower.
+
+    peer_host: the peer's address, because a member may send requests only for itself."""
 
     def __init__(self, registry, connection, min_update_interval, interval, max_members, peer_host, now):
         super().__init__(registry, connection, min_update_interval, now)
@@ -70,10 +73,10 @@
         )
         self.max_members, self.peer_host = max_members, peer_host
         self.trust = self.no_change = self.inclusive_lengths = False
-        self.last_message_id, self.poll_replies = 0, {}  # polled: group names -> PollAnswer
+        self.last_message_id, self.poll_replies = 0, {}  # poll_replies: group names -> PollReply
 
     def handle_message(self, now, message, out):
-        """Answers a request."""
+        """Handles a request and writes the reply."""
         if isinstance(message, codec.InvalidMessage):
             if data := codec.encode_not_understood_reply(message):
                 self.write(data, out)
@@ -81,9 +84,8 @@
             if message.fatal:
                 self.close(now, "unreadable", out)
             return
-        self.inclusive_lengths = (
-            self.inclusive_lengths or message.inclusive_lengths
-        )  # a peer keeps to one form; short messages show none
+        # A peer uses one form throughout; messages without nested components do not show which.
+        self.inclusive_lengths = self.inclusive_lengths or message.inclusive_lengths
         try:
             reply = self.handle_request(now, message, out)
         except RequestRefused as refusal:
@@ -106,7 +108,7 @@
                 self.record_poll(now)
 
     def refusal_reply(self, message, code):
-        """The answer to a refused request."""
+        """Returns the reply to a refused request."""
         if isinstance(message, m.GetWeights):
             return codec.encode_weights_reply(
                 message.id, code, self.poll_interval, [], self.inclusive_lengths
@@ -116,7 +118,7 @@
         )
 
     def request_type(self, message):
-        """The wire's type of a request."""
+        """Returns the message type of a request."""
         return {
             m.Register: MessageType.REGISTER,
             m.Deregister: MessageType.DEREGISTER,
@@ -125,7 +127,7 @@
         }[type(message)]
 
     def handle_request(self, now, message, out):
-        """Carries out a request; returns the answer as bytes, or raises Refused."""
+        """Executes a request; returns the reply as bytes, or raises RequestRefused."""
         match message:
             case m.Register(lb=True):
                 self.register(now, message, out)
@@ -155,7 +157,7 @@
     # Registration, section 6.1
 
     def register(self, now, message, out):
-        """A balancer registers members: all of them or none."""
+        """Registers members for a balancer: all of them or none."""
         if not message.groups:
             raise RequestRefused(ResponseCode.INVALID_GROUP, "no group")
         follower, added = None, {}
@@ -187,7 +189,7 @@
         self.groups |= added
 
     def follower_of(self, name):
-        """The follower that a group's name belongs to; raises Refused."""
+        """Returns the follower that owns a group name; raises RequestRefused."""
         if not name.uid:
             raise RequestRefused(ResponseCode.INVALID_LB_UID_SIZE, "no LB UID")
         if not name.name:
@@ -198,7 +200,7 @@
         return follower
 
     def granted_group(self, follower, name):
-        """This balancer's group of that name, or a new one; raises Refused if it may not have it."""
+        """Returns this balancer's group of that name, or a new one; raises RequestRefused if unauthorized."""
         group = self.groups.get(name.name)
         text = name.name.decode("utf-8", "replace")
         route = self.registry.groups.get(text)
@@ -211,7 +213,7 @@
         return group or BalancerGroup(route, name=name)
 
     def add_members(self, group, members):
-        """Adds members to a group; raises Refused."""
+        """Adds members to a group; raises RequestRefused."""
         for data in members:
             key = codec.encode_member(data)
             if key in group.members:
@@ -223,7 +225,7 @@
             group.members[key] = Member(key, data.endpoint, self.task_at(data))
 
     def task_at(self, data):
-        """The task at a member's address; raises Refused."""
+        """Returns the task at a member's address; raises RequestRefused."""
         snapshot = self.registry.snapshot
         task = snapshot.tasks_by_address.get(data.endpoint)
         if data.protocol not in (TCP, ANY_PROTOCOL) or task is None:
@@ -235,10 +237,12 @@
             )
         return task
 
-    # Members for themselves
+    # Requests of members for themselves
 
     def trusting_session(self, name, code):
-        """The session of the balancer that a group belongs to; raises Refused, with this code if none."""
+        """Returns the session of the balancer that owns a group, if that trusts its members.
+
+        Raises RequestRefused, with this code if the balancer has no session."""
         self.follower_of(name)
         session = self.registry.session_of(name.uid)
         if not isinstance(session, Session):
@@ -250,14 +254,14 @@
         return session
 
     def check_address(self, data):
-        """Raises Refused if a member speaks for another address."""
+        """Raises RequestRefused if a member sends a request for another address."""
         if data.endpoint[0] != self.peer_host:
             raise RequestRefused(
                 ResponseCode.NOT_ACCEPTED, f"member {data.endpoint} is not at the sender's address"
             )
 
     def register_self(self, message, out):
-        """A member registers itself in balancers' groups."""
+        """Registers members in groups of their balancers, at their own request."""
         added = []
         for name, members in message.groups:
             session = self.trusting_session(name, ResponseCode.LB_UNKNOWN_YET)
@@ -265,7 +269,7 @@
                 self.check_address(data)
             group = session.groups[name.name]
             copy = replace(group, members=dict(group.members))
-            for key in map(codec.encode_member, members):  # one that had left comes back
+            for key in map(codec.encode_member, members):  # a member that deregistered itself may return
                 if key in copy.members and not copy.members[key].registered:
                     del copy.members[key]
             session.add_members(copy, members)
@@ -281,7 +285,7 @@
             out.append(NotifySession(session.connection))
 
     def deregister_self(self, message, out):
-        """A member takes itself out of balancers' groups."""
+        """Removes members from groups of their balancers, at their own request."""
         removals = []
         for name, members in message.groups:
             session = self.trusting_session(name, ResponseCode.LB_UNKNOWN_YET_DEREGISTER)
@@ -290,7 +294,7 @@
                 self.check_address(data)
             removals.append((session, group, self.member_keys(group, members)))
         for session, group, keys in removals:
-            # It stays as a member that takes nothing: the balancer has to hear of it.
+            # It stays as a quiesced member, so that the balancer is told.
             for key in keys:
                 group.members[key] = replace(group.members[key], quiesced=True, registered=False)
             group.version = self.registry.next_version()
@@ -299,7 +303,7 @@
     # Deregistration, section 6.2
 
     def deregister(self, now, message, out):
-        """A balancer takes members, groups or everything out."""
+        """Removes members, groups or everything for a balancer."""
         if self.follower is None:
             raise RequestRefused(ResponseCode.UNKNOWN_LB_UID, "nothing is registered on this connection")
         names = [name.name for name, _ in message.groups]
@@ -320,14 +324,14 @@
                 last_sent = self.delivery.last_sent.get(group.name.name, {})
                 self.delivery.last_sent[group.name.name] = {k: e for k, e in last_sent.items() if k != key}
                 if not any(x.task == task for h in self.groups.values() for x in h.members.values()):
-                    self.delivery.cancel_drain(task)  # the balancer itself has let it go
+                    self.delivery.cancel_drain(task)  # the balancer has removed it itself
             group.version = self.registry.next_version()
         self.groups = {name: group for name, group in self.groups.items() if group.members}
         if not self.groups:
             self.release_lease(now, "deregistered", False, out)
 
     def own_group(self, name):
-        """The group of this balancer with this name; raises Refused."""
+        """Returns this balancer's group of that name; raises RequestRefused."""
         if name.uid not in (group.name.uid for group in self.groups.values()):
             raise RequestRefused(
                 ResponseCode.UNKNOWN_LB_UID, f"no group of {name.uid[:40]!r} on this connection"
@@ -337,7 +341,7 @@
         return self.groups[name.name]
 
     def member_keys(self, group, members):
-        """The keys of members of a group; raises Refused for one that is not in it, or named twice."""
+        """Returns the keys of a group's members; raises RequestRefused for duplicates and unknown members."""
         keys = [codec.encode_member(data) for data in members]
         if len(keys) != len(dict.fromkeys(keys)):
             raise RequestRefused(ResponseCode.DUPLICATE_IN_REQUEST, "a member twice")
@@ -349,7 +353,7 @@
     # States, sections 6.5 and 6.6
 
     def set_lb_state(self, message, out):
-        """A balancer sets how it wants to be served."""
+        """Sets how the balancer wants to be served."""
         follower = self.registry.followers.get(message.uid)
         if not message.uid:
             raise RequestRefused(ResponseCode.INVALID_LB_UID_SIZE, "no LB UID")
@@ -375,7 +379,7 @@
         self.push_enabled, self.trust, self.no_change = message.push, message.trust, message.no_change
 
     def set_member_states(self, message, out):
-        """Members are quiesced or opened, by their balancer or by themselves."""
+        """Quiesces members or ends that, at the request of their balancer or of the members themselves."""
         changes = []
         for name, states in message.groups:
             if message.lb:
@@ -397,7 +401,7 @@
     # Weights, sections 6.3 and 6.4
 
     def reply_to_poll(self, now, message):
-        """The answer to a request for weights; equal polls of one state share its bytes."""
+        """Returns the reply to a request for weights; equal polls of one state share its encoded groups."""
         if self.follower is None:
             raise RequestRefused(ResponseCode.UNKNOWN_LB_UID, "nothing is registered on this connection")
         names = tuple(name.name for name in message.groups)
@@ -420,7 +424,7 @@
         )
 
     def record_poll(self, now):
-        """The answer to a poll is an update like any other."""
+        """Records the reply to a poll as an update."""
         table = self.weight_table()
         state = PollState(table.generation, self.group_versions(), self.inclusive_lengths)
         sent = {}
@@ -438,7 +442,7 @@
             self.up_to_date_version = table.generation, self.group_versions()
 
     def sent_in_all_groups(self, sent, task, table):
-        """Whether every group that holds a task was sent."""
+        """Returns whether every group that contains a task was sent."""
         return all(
             name in sent
             for name, group in self.groups.items()
@@ -446,7 +450,7 @@
         )
 
     def encode_update(self, table, wanted, changed):
-        """A Send Weights message with the groups that changed."""
+        """Returns a Send Weights message with the groups that changed."""
         self.last_message_id = self.last_message_id % MAX_MESSAGE_ID + 1
         last_sent = self.delivery.last_sent
         encoded = [
@@ -456,8 +460,10 @@
         return codec.encode_send_weights(self.last_message_id, encoded, self.inclusive_lengths)
 
     def encode_group(self, name, weights, table, last_sent=None):
-        """A group with its entries as bytes; only those that differ from `last_sent`, where that is given.
-        Groups that share their weights share the bytes too."""
+        """Encodes a group with its entries.
+
+        last_sent: if given, only entries that differ from it are included, or all if none differs. Groups
+        with the same weights share the encoded entries."""
         group = self.groups[name]
         cache_key = "bytes", id(weights), id(last_sent), self.inclusive_lengths
         entries = table.cache.get(cache_key)
@@ -479,7 +485,7 @@
         )
 
     def encode_entries(self, group, weights, held_references):
-        """The entries of a group's members."""
+        """Encodes the weight entries of a group's members."""
         items = []
         for key, weight in weights.items():
             member = group.members[key]
@@ -492,7 +498,6 @@
 
 
 def entry_flags(weight, member):
-    """The flags of a member's entry."""
     return (
         CONTACT * weight.contact
         | QUIESCE * weight.quiesced
