--- a/garnetpaddle/sasp/constants.py
+++ b/garnetpaddle/sasp/constants.py
@@ -1,9 +1,9 @@
 """The numbers of RFC 4678 (SASP version 1).
 
 They were written down from memory, without access to the text of the RFC. FIELD_SOURCES says for each how
-reliable it is: "shape" follows from other facts (lengths that add up, counts of 16 bits); "memory" could not
-be checked. Compare them all with the RFC before serving another vendor's load balancer; a correction would
-change only this file and `codec`."""
+reliable it is: "derived" follows from other facts (lengths that add up, counts of 16 bits); "memory" could
+not be checked. Compare them all with the RFC before serving another vendor's load balancer; a correction
+would change only this file and `codec`."""
 
 from enum import IntEnum
 
@@ -58,7 +58,7 @@
 
 FIELD_SOURCES = (
     # what, section, source
-    ("header: type 0x2010, length 13, version, message length of 4 bytes, message id of 4", "5.1", "shape"),
+    ("header: type 0x2010, length 13, version, message length of 4 bytes, message id of 4", "5.1", "derived"),
     ("components begin with a type and a length of 2 bytes each, the length counting these 4", "5", "memory"),
     (
         "a length excludes nested components; a peer that includes them is answered in the same form",
--- a/tests/test_dfp.py
+++ b/tests/test_dfp.py
@@ -1,4 +1,4 @@
-"""draft-eck-dfp: the wire by bytes written by hand, and the agent's side by short traces."""
+"""draft-eck-dfp: the codec against hand-written bytes, and the agent's session by short traces."""
 
 import pytest
 from helper import changes, line, matches
@@ -52,7 +52,7 @@
     ),
     "server state": (
         """01 00 0201 0000001c
-        0002 0014 0050 06 00 0001 0000 0a010012 0007 0000    # port 80, one host with BindID 7 held out
+        0002 0014 0050 06 00 0001 0000 0a010012 0007 0000    # port 80, one host with BindID 7 and weight 0
         """,
         codec.ServerState((Load(80, (Host(bytes([10, 1, 0, 18]), 0, 7),)),)),
     ),
@@ -68,26 +68,27 @@
 
 
 @pytest.mark.parametrize("name", GOLDEN)
-def test_bytes_written_by_hand(name):
+def test_encoding_matches_hand_written_bytes(name):
     text, message = GOLDEN[name]
     data = bytes_of(text)
     assert codec.encode(message).hex() == data.hex()
     assert list(codec.MessageDecoder(4096).feed(data)) == [message]
 
 
-def test_a_signed_message_is_signed_over_all_of_it():
+def test_signature_covers_the_whole_message():
     import hashlib
 
-    head = bytes_of("01 00 0301 0000002c  0001 001c 00000001 00000009")  # security TLV: MD5, key 9
-    rest = bytes_of("0101 0008 00000005")
-    told = hashlib.md5(head + bytes(16) + rest + b"key").digest()
-    data = head + told + rest
+    header = bytes_of("01 00 0301 0000002c  0001 001c 00000001 00000009")  # security TLV: MD5, key 9
+    body = bytes_of("0101 0008 00000005")
+    expected = hashlib.md5(header + bytes(16) + body + b"key").digest()
+    data = header + expected + body
     assert codec.encode(Parameters(5), Key(9, b"key")) == data
     assert codec.decode(data, Key(9, b"key")) == Parameters(5) == codec.decode(data)
-    for at in range(len(data)):  # whatever is changed, it is not believed
-        spoilt = data[:at] + bytes([data[at] ^ 1]) + data[at + 1 :]
-        (got,) = list(codec.MessageDecoder(4096, Key(9, b"key")).feed(spoilt)) or [None]
-        assert got is None or isinstance(got, InvalidMessage) or at == 1  # the reserved byte is signed too
+    for at in range(len(data)):  # any corrupted byte must be detected
+        corrupted = data[:at] + bytes([data[at] ^ 1]) + data[at + 1 :]
+        (got,) = list(codec.MessageDecoder(4096, Key(9, b"key")).feed(corrupted)) or [None]
+        # The reserved byte, at 1, is signed too.
+        assert got is None or isinstance(got, InvalidMessage) or at == 1
     assert codec.decode(data, Key(9, b"other")).fatal and codec.decode(data, Key(8, b"key")).fatal
     assert codec.decode(codec.encode(Parameters(5)), Key(9, b"key")).fatal
 
@@ -107,13 +108,13 @@
 
 @settings(derandomize=True, max_examples=150)
 @given(st.lists(MESSAGES, min_size=1, max_size=3), st.integers(1, 40), st.none() | st.just(Key(3, b"k")))
-def test_round_trips_however_the_bytes_are_cut(messages, size, key):
-    data, frames = b"".join(codec.encode(x, key) for x in messages), codec.MessageDecoder(1 << 16, key)
-    assert [x for at in range(0, len(data), size) for x in frames.feed(data[at : at + size])] == messages
+def test_round_trip_with_any_chunk_size(messages, size, key):
+    data, decoder = b"".join(codec.encode(x, key) for x in messages), codec.MessageDecoder(1 << 16, key)
+    assert [x for at in range(0, len(data), size) for x in decoder.feed(data[at : at + size])] == messages
 
 
 @pytest.mark.parametrize("name", ["preference", "server state", "parameters", "bind ids"])
-def test_a_message_cut_anywhere_or_with_a_lying_length_is_a_value(name):
+def test_truncated_or_corrupt_message_never_raises(name):
     data = bytes_of(GOLDEN[name][0])
     for at in range(9, len(data)):
         (got,) = codec.MessageDecoder(4096).feed(data[:4] + at.to_bytes(4, "big") + data[8:at])
@@ -122,170 +123,176 @@
         for value in (0, 0x7F, 0xFF):
             list(codec.MessageDecoder(4096).feed(data[:at] + bytes([value]) + data[at + 1 :]))
     for junk in (bytes(1 << 16), b"GET / HTTP/1.1\r\n", b"\x01\x00\x01\x01\x7f\xff\xff\xff"):
-        frames = codec.MessageDecoder(4096)
-        (got,) = frames.feed(junk)
-        assert got.fatal and not frames.buffer
+        decoder = codec.MessageDecoder(4096)
+        (got,) = decoder.feed(junk)
+        assert got.fatal and not decoder.buffer
 
 
-def test_unknown_tlvs_are_passed_over():
+def test_unknown_tlvs_are_skipped():
     data = bytes_of("01 00 0301 00000016  7fff 0006 0000  0101 0008 00000007")
     assert list(codec.MessageDecoder(4096).feed(data)) == [Parameters(7)]
 
 
-def test_a_load_of_many_hosts_takes_several_tlvs():
+def test_load_with_many_hosts_is_split_into_several_tlvs():
     hosts = tuple(Host(k.to_bytes(4, "big"), k % 65_536) for k in range(20_000))
     (got,) = codec.MessageDecoder(1 << 20).feed(codec.encode(Preference((Load(80, hosts),))))
     assert [len(load.hosts) for load in got.loads] == [8_000, 8_000, 4_000]
 
 
-class Talk:
-    """The agent's session, in words."""
+class SessionHarness:
+    """One session of the agent; records messages and events as text.
 
-    def __init__(self, retries="none", effect="repeatable", places=None, **how):
-        self.snapshot_builder, self.now, self.trace, self.wake_at = SnapshotBuilder(), 1_000_000, [], None
-        client = Follower("one", ("status",), retries, "acknowledged")
+    Written bytes are acknowledged at once, unless hold_acks is set."""
+
+    def __init__(self, retries="none", effect="repeatable", addresses=None, **options):
+        self.snapshot_builder, self.now, self.trace, self.timer_at = SnapshotBuilder(), 1_000_000, [], None
+        follower = Follower("one", ("status",), retries, "acknowledged")
         self.registry = SessionRegistry(
             {"status": GroupRoute(0, effect)},
-            {b"one": client},
+            {b"one": follower},
             [("one", 5.0, "z")],
             30_000,
             150_000,
             -100_000,
         )
-        places = places or {"a": ("10.0.0.1", 80), "b": ("10.0.0.2", 80), "c": ("10.0.0.1", 81)}
+        addresses = addresses or {"a": ("10.0.0.1", 80), "b": ("10.0.0.2", 80), "c": ("10.0.0.1", 81)}
         self.snapshot_builder.update(
             self.now,
-            [gp.ListHeard("full", tuple(map(line, places)))],
-            [gp.SetLine(1, k, 1.0) for k in places],
-            places,
+            [gp.ListHeard("full", tuple(map(line, addresses)))],
+            [gp.SetLine(1, k, 1.0) for k in addresses],
+            addresses,
         )
-        self.key, self.ended, self.held, self.sent = how.pop("key", None), False, False, 0
-        self.session = self.begin(client)
-
-    def begin(self, client=None):
-        client = client or self.session.configured_follower
-        self.session = Session(self.registry, 1, 10_000, client, "status", 60_000, self.key, self.now)
-        self.ended, self.sent = False, 0
-        self.hand(SnapshotPublished(self.snapshot_builder.snapshot))
+        self.key, self.closed, self.hold_acks, self.written = options.pop("key", None), False, False, 0
+        self.session = self.open_session(follower)
+
+    def open_session(self, follower=None):
+        follower = follower or self.session.configured_follower
+        self.session = Session(self.registry, 1, 10_000, follower, "status", 60_000, self.key, self.now)
+        self.closed, self.written = False, 0
+        self.dispatch(SnapshotPublished(self.snapshot_builder.snapshot))
         return self.session
 
-    def turn(self, events=(), orders=(), places=None):
-        self.hand(SnapshotPublished(self.snapshot_builder.update(self.now, events, orders, places)))
+    def apply_batch(self, events=(), orders=(), addresses=None):
+        self.dispatch(SnapshotPublished(self.snapshot_builder.update(self.now, events, orders, addresses)))
 
-    def pass_(self, seconds):
+    def advance(self, seconds):
         until = self.now + round(seconds * 10_000)
-        while self.wake_at is not None and self.wake_at <= until and not self.ended:
-            self.now, self.wake_at = self.wake_at, None
-            self.hand(TimerExpired())
+        while self.timer_at is not None and self.timer_at <= until and not self.closed:
+            self.now, self.timer_at = self.timer_at, None
+            self.dispatch(TimerExpired())
         self.now = until
 
-    def say(self, text):
+    def note(self, text):
         self.trace.append(f"       -- {text}")
 
-    def hand(self, event):
-        actions = [] if self.ended else self.session.handle(self.now, event)
+    def dispatch(self, event):
+        actions = [] if self.closed else self.session.handle(self.now, event)
         for action in actions:
             match action:
                 case WriteBytes(data):
-                    self.sent += len(data)
+                    self.written += len(data)
                     for message in codec.MessageDecoder(1 << 20, self.key).feed(data):
-                        self.show("> " + shown(message))
-                    if not self.held:
-                        self.hand(BytesAcknowledged(self.sent))
+                        self.record("> " + describe(message))
+                    if not self.hold_acks:
+                        self.dispatch(BytesAcknowledged(self.written))
                 case CloseConnection(why):
-                    self.ended = True
-                    self.show(f"closes: {why}")
+                    self.closed = True
+                    self.record(f"closes: {why}")
                 case PublishEvent(event):
                     if not isinstance(event, gp.Applied):
-                        self.show(f"brain: {type(event).__name__} {event.proxy}")
+                        self.record(f"brain: {type(event).__name__} {event.proxy}")
                     orders = [gp.Bind(FIRST_FOLLOWER_NUMBER, 1)] if isinstance(event, gp.ProxyJoined) else []
                     self.snapshot_builder.update(self.now, [event], orders)
-                case LogLine("manager_state" | "message_unreadable" as name, words):
-                    self.show(f"log: {name} {dict(words)}")
+                case LogLine("manager_state" | "message_unreadable" as name, fields):
+                    self.record(f"log: {name} {dict(fields)}")
                 case SetTimer(at):
-                    self.wake_at = at
+                    self.timer_at = at
 
-    def show(self, text):
+    def record(self, text):
         self.trace.append(f"{self.now / 10_000 - 100:6.2f} {text}")
 
 
-def shown(x):
-    if isinstance(x, Preference):
+def describe(message):
+    if isinstance(message, Preference):
         loads = [
             f"port {load.port}: "
             + " ".join(f"{'.'.join(map(str, h.address))}={h.weight}" for h in load.hosts)
-            for load in x.loads
+            for load in message.loads
         ]
-        return "preference " + ("; ".join(loads) or "of nobody")
-    return str(x)
-
-
-def test_a_manager_is_told_what_stands():
-    t = Talk()
-    t.say("its table reaches the book")
-    t.turn()
-    t.say("shares jump twice within a pace")
-    t.turn([], [gp.SetLine(1, "a", 1.5)])
-    t.now += 1_000
-    t.turn([], [gp.SetLine(1, "a", 1.8), gp.SetLine(1, "b", 0.2)])
-    t.pass_(2)
-    t.say("b drains: at once")
-    t.turn([], [gp.SetLine(1, "c", 0.7)])
-    t.turn([changes(line("b", "draining"))])
-    t.say("nothing happens: it is told that we are alive, oftener once it asks for that")
-    t.pass_(4)
-    t.hand(MessageReceived(Parameters(2)))
-    t.pass_(3)
-    t.hand(MessageReceived(Parameters(0)))
-    t.pass_(60)
-    t.hand(MessageReceived(codec.ServerState((Load(80, (Host(bytes([10, 0, 0, 1]), 0),)),))))
-    t.hand(MessageReceived(BindIdRequest()))
-    t.hand(MessageReceived(InvalidMessage("an unknown message")))
-    matches("dfp_told", t.trace)
-
-
-def test_a_manager_that_reads_nothing_goes_before_the_grace_ends():
-    t = Talk()
-    t.turn()
-    t.pass_(2)
-    t.held = True
-    t.say("its machine takes nothing; b drains")
-    t.turn([changes(line("b", "draining"))])
-    t.pass_(3)
-    t.say("it comes again: it must show that it reads, and its hold must pass")
-    t.session.handle(t.now, ConnectionLost("reset"))
-    t.begin()
-    t.pass_(2)
-    t.held = False
-    t.hand(BytesAcknowledged(t.sent))
-    t.turn()
-    t.pass_(2)
-    matches("dfp_stalled", t.trace)
-
-
-def test_what_the_wire_cannot_name_is_left_out_and_what_left_is_told_0_once():
-    t = Talk(places={"a": ("10.0.0.1", 80), "six": ("2001:db8::1", 80), "name": ("node.example", 80)})
-    t.turn()
-    t.pass_(2)
-    t.turn([changes(line("a", "gone"))], [gp.SetLine(1, "a", 0.0)])
-    t.pass_(1)
-    t.say("ten minutes later it is forgotten")
-    t.hand(MessageReceived(Parameters(0)))
-    t.now += 6_000_000
-    t.turn()
-    t.turn([changes(line("n"))], [gp.SetLine(1, "n", 1.0)], {"n": ("10.0.0.1", 80)})
-    t.pass_(1)
-    matches("dfp_left_out", t.trace)
+        return "preference " + ("; ".join(loads) or "without hosts")
+    return str(message)
+
+
+def test_manager_is_sent_updates_and_keep_alives():
+    harness = SessionHarness()
+    harness.note("a snapshot with its binding is published")
+    harness.apply_batch()
+    harness.note("weights change twice within the update interval")
+    harness.apply_batch([], [gp.SetLine(1, "a", 1.5)])
+    harness.now += 1_000
+    harness.apply_batch([], [gp.SetLine(1, "a", 1.8), gp.SetLine(1, "b", 0.2)])
+    harness.advance(2)
+    harness.note("b drains: sent at once")
+    harness.apply_batch([], [gp.SetLine(1, "c", 0.7)])
+    harness.apply_batch([changes(line("b", "draining"))])
+    harness.note("nothing changes: keep-alives are sent, more often once it requests that")
+    harness.advance(4)
+    harness.dispatch(MessageReceived(Parameters(2)))
+    harness.advance(3)
+    harness.dispatch(MessageReceived(Parameters(0)))
+    harness.advance(60)
+    harness.dispatch(MessageReceived(codec.ServerState((Load(80, (Host(bytes([10, 0, 0, 1]), 0),)),))))
+    harness.dispatch(MessageReceived(BindIdRequest()))
+    harness.dispatch(MessageReceived(InvalidMessage("an unknown message")))
+    matches("dfp_updates", harness.trace)
+
+
+def test_manager_that_does_not_read_is_closed_within_the_grace_period():
+    harness = SessionHarness()
+    harness.apply_batch()
+    harness.advance(2)
+    harness.hold_acks = True
+    harness.note("nothing is acknowledged; b drains")
+    harness.apply_batch([changes(line("b", "draining"))])
+    harness.advance(3)
+    harness.note("it reconnects: it must acknowledge a message, and its block time must pass")
+    harness.session.handle(harness.now, ConnectionLost("reset"))
+    harness.open_session()
+    harness.advance(2)
+    harness.hold_acks = False
+    harness.dispatch(BytesAcknowledged(harness.written))
+    harness.apply_batch()
+    harness.advance(2)
+    matches("dfp_no_read", harness.trace)
+
+
+def test_only_ipv4_tasks_are_members_and_a_gone_task_is_sent_weight_0_once():
+    harness = SessionHarness(
+        addresses={"a": ("10.0.0.1", 80), "six": ("2001:db8::1", 80), "name": ("node.example", 80)}
+    )
+    harness.apply_batch()
+    harness.advance(2)
+    harness.apply_batch([changes(line("a", "gone"))], [gp.SetLine(1, "a", 0.0)])
+    harness.advance(1)
+    harness.note("ten minutes later the gone task is forgotten")
+    harness.dispatch(MessageReceived(Parameters(0)))
+    harness.now += 6_000_000
+    harness.apply_batch()
+    harness.apply_batch([changes(line("n"))], [gp.SetLine(1, "n", 1.0)], {"n": ("10.0.0.1", 80)})
+    harness.advance(1)
+    matches("dfp_members", harness.trace)
 
 
 @pytest.mark.parametrize("effect, retries", [("mutating", "any"), ("keyed", "any"), ("mutating", "none")])
-def test_a_mutating_route_is_fail_closed_here_too(effect, retries):
-    t = Talk(retries, effect)
-    assert t.ended == (retries == "any") and any("ProxyJoined" in x for x in t.trace) == (retries == "none")
-
-
-def test_wrong_security_ends_the_connection():
-    t = Talk(key=Key(1, b"secret"))
-    (message,) = codec.MessageDecoder(4096, t.key).feed(codec.encode(Parameters(5), Key(1, b"wrong")))
-    t.hand(MessageReceived(message))
-    assert t.ended and any("ProxyLeft" in x for x in t.trace)
+def test_mutating_route_is_granted_only_without_retries(effect, retries):
+    harness = SessionHarness(retries, effect)
+    assert harness.closed == (retries == "any") and any("ProxyJoined" in x for x in harness.trace) == (
+        retries == "none"
+    )
+
+
+def test_wrong_signature_closes_the_connection():
+    harness = SessionHarness(key=Key(1, b"secret"))
+    (message,) = codec.MessageDecoder(4096, harness.key).feed(codec.encode(Parameters(5), Key(1, b"wrong")))
+    harness.dispatch(MessageReceived(message))
+    assert harness.closed and any("ProxyLeft" in x for x in harness.trace)
