--- a/tests/front_end_harness.py
+++ b/tests/front_end_harness.py
@@ -1,4 +1,4 @@
-"""A Brain with its fronts on loopback, its time in the test's hands; and what a relay would hold."""
+"""A Brain with its front ends on loopback, under a test clock, and the table that a relay would hold."""
 
 import asyncio
 import contextlib
@@ -28,14 +28,14 @@
 GROUPS = (op.Group("status", "status"), op.Group("scan", "scan"), op.Group("charge", "charge"))
 
 
-def make_follower(name="lb", rate=10.0, **how):
-    how.setdefault("groups", ["status", "scan", "charge"])
-    how.setdefault("retries", "none")
-    return op.Follower(name=name, calls_per_second=rate, **how)
+def make_follower(name="lb", rate=10.0, **options):
+    options.setdefault("groups", ["status", "scan", "charge"])
+    options.setdefault("retries", "none")
+    return op.Follower(name=name, calls_per_second=rate, **options)
 
 
-def make_configuration(*followers, connections=64, pace=0.2, dfp=(), listen="127.0.0.1:0", **how):
-    limits = op.Limits(connections=connections, **how)
+def make_configuration(*followers, connections=64, pace=0.2, dfp=(), listen="127.0.0.1:0", **options):
+    limits = op.Limits(connections=connections, **options)
     sasp = (op.Sasp("sasp", listen, pace, 5.0),)
     return op.OperatorConfiguration("-", limits, GROUPS, followers or (make_follower(),), sasp, dfp)
 
@@ -46,9 +46,12 @@
 
 
 class FrontEndHarness(Play):
-    """Play, with fronts. What followers tell is heard with the next batch; `native` is the relay's table."""
+    """Play with front ends.
 
-    def __init__(self, configuration, tasks="abcdef", restarted=False, **how):
+    Events of followers are handled with the next batch. native_weights: the table that the relay would
+    hold."""
+
+    def __init__(self, configuration, tasks="abcdef", restarted=False, **options):
         self.now, self.front_ends, self.follower_events, self.native_weights, self.native_table = (
             0,
             None,
@@ -58,7 +61,7 @@
         )
         self.configuration, self.platform_replies, self.withdrawn_tasks = configuration, [], {}
         self.task_addresses = FixedTaskAddresses(tasks)
-        super().__init__(tasks, **how)
+        super().__init__(tasks, **options)
         self.front_ends = FrontEnds(
             configuration,
             SETTINGS,
@@ -95,23 +98,23 @@
             self.front_ends.follow(self.now, events, self.last)
 
     def native_weights_by_port(self):
-        """The relay's table as port -> weight."""
+        """Returns the relay's table as port -> weight."""
         return {
             self.task_addresses.by_task[k][1]: w
             for k, w in self.native_weights.items()
             if not self.withdrawn_tasks.get(k)
         }
 
-    async def steps(self, seconds, each=None):
-        """Time goes by in tenths of a second; the sockets have their turn after each."""
+    async def advance_with_io(self, seconds, check=None):
+        """Advances the clock in steps of 0.1 s and lets the sockets be served after each."""
         for _ in range(round(seconds * 10)):
             self.run(0.1)
             await self.settle()
-            if each:
-                await each()
+            if check:
+                await check()
 
     async def settle(self):
-        """Lets machines acknowledge what was written: the system's time for that is not the test's."""
+        """Waits in real time until the kernel has acknowledged all output, then runs the due timers."""
         manager = self.front_ends.manager
         for _ in range(40):
             await asyncio.sleep(0)
@@ -128,7 +131,7 @@
 
     @contextlib.asynccontextmanager
     async def serving(self):
-        """Opens the fronts; gives their addresses."""
+        """Opens the front ends; yields their addresses."""
         await self.front_ends.open()
         run_task = asyncio.create_task(self.front_ends.run())
         try:
@@ -141,12 +144,12 @@
 
 
 def normalized(weights):
-    """Weights by port, as parts of their sum."""
+    """Returns weights by port, scaled to a sum of 1."""
     total = sum(weights.values())
     return {port: w / total for port, w in weights.items() if w}
 
 
-def same_shares(told, native_weights):
-    """Whether whole numbers by port stand for these weights: ratios within 1%, nothing else above 0."""
-    a, b = normalized(told), normalized(native_weights)
+def same_shares(integers, native_weights):
+    """Returns whether integers by port represent these weights: ratios within 1%, no other port above 0."""
+    a, b = normalized(integers), normalized(native_weights)
     return a.keys() == b.keys() and all(abs(a[p] - b[p]) <= 0.0101 * b[p] for p in b)
--- a/tests/test_fronts.py
+++ b/tests/test_fronts.py
@@ -1,4 +1,4 @@
-"""The fronts on loopback: clients that follow, and some that do anything but."""
+"""The front ends on loopback, with well-behaved, faulty and hostile clients."""
 
 import asyncio
 import contextlib
@@ -24,12 +24,14 @@
 
 
 def shortest_wait(low, high):
-    return low  # the shortest wait, so that tests take no longer than they must
+    return low  # keeps reconnects in tests short
 
 
-def sasp_client(addresses, harness, tasks="abcdef", groups=("status",), uid="lb", **how):
+def sasp_client(addresses, harness, tasks="abcdef", groups=("status",), uid="lb", **options):
     members = harness.members(tasks)
-    return SaspClient(addresses["sasp"], uid, dict.fromkeys(groups, members), uniform=shortest_wait, **how)
+    return SaspClient(
+        addresses["sasp"], uid, dict.fromkeys(groups, members), uniform=shortest_wait, **options
+    )
 
 
 def weights_by_port(client, group="status"):
@@ -37,8 +39,9 @@
 
 
 class TableComparison:
-    """Holds what a client was told against the native table, after every generation: equal within one update,
-    or two where a drain went ahead."""
+    """Compares a client's weights with the native table after every generation.
+
+    They must be equal after one update, or two if a drain was sent first."""
 
     def __init__(self, harness, client):
         self.harness, self.client = harness, client
@@ -54,7 +57,7 @@
             return
         before = self.client.state_machine.serial
 
-        def told():
+        def up_to_date():
             (
                 self.harness.front_ends.manager.timers.run_due()
                 if self.harness.front_ends.manager.timers
@@ -62,43 +65,43 @@
             )
             return same_shares(weights_by_port(self.client), native_weights)
 
-        # Pace and acknowledgement are in the test's time: it moves a little while nothing is ordered.
+        # The update interval and acknowledgements need the test clock to advance.
         for _ in range(60):
-            if told():
+            if up_to_date():
                 break
             await asyncio.sleep(0.002)
             self.harness.now += 50
-        assert told(), (weights_by_port(self.client), native_weights)
+        assert up_to_date(), (weights_by_port(self.client), native_weights)
         assert self.client.state_machine.serial - before <= 2
         self.updates += self.client.state_machine.serial - before
         self.compared += 1
 
 
-def test_a_day_of_a_follower_equals_the_native_tables_after_every_generation():
+def test_follower_weights_match_the_native_table_at_every_generation():
     async def scenario():
         harness = FrontEndHarness(make_configuration(make_follower(), pace=0.1))
         async with harness.serving() as addresses, sasp_client(addresses, harness) as client:
             await until(lambda: harness.follower_events)
             comparison = TableComparison(harness, client)
-            await harness.steps(6, comparison)
+            await harness.advance_with_io(6, comparison)
             harness.sums["a"], harness.sums["b"] = (10, 0, 80), (10, 0, 500)
-            await harness.steps(10, comparison)
+            await harness.advance_with_io(10, comparison)
             harness.hear(changes(line("c", "draining")))
             await comparison()
-            await harness.steps(2, comparison)
+            await harness.advance_with_io(2, comparison)
             harness.sums["d"], harness.probes["d"] = (10, 10, 0), "timeout"
-            await harness.steps(5, comparison)
+            await harness.advance_with_io(5, comparison)
             harness.sums["d"], harness.probes["d"] = (10, 0, 200), "ok"
             harness.hear(changes(line("c", started=harness.now / 10_000)))
-            await harness.steps(25, comparison)
+            await harness.advance_with_io(25, comparison)
             harness.hear(gp.OrdersInDoubt())
-            await harness.steps(3, comparison)
+            await harness.advance_with_io(3, comparison)
             harness.hear(gp.ListHeard("full", tuple(line(t) for t in "adef")))
-            await harness.steps(5, comparison)
+            await harness.advance_with_io(5, comparison)
             seen = " ".join(harness.trace)
             for word in ("taken out", "let back", "c=0 ", "d="):
                 assert word in seen + " "
-            # Nothing of the follower's was ever an order of the relay's.
+            # No order for the follower may reach the relay.
             sent = [o for reply in harness.platform_replies for o in reply]
             assert sent and not any(isinstance(o, gp.Bind) and o.proxy >= FIRST_FOLLOWER_NUMBER for o in sent)
             return comparison.compared, client.log
@@ -107,11 +110,11 @@
     assert compared >= 20 and log == ["opened"]
 
 
-def test_a_dfp_manager_is_told_the_same():
+def test_dfp_manager_weights_match_the_native_table():
     async def scenario():
-        one = make_follower(takes="acknowledged", groups=["status"])
+        follower = make_follower(takes="acknowledged", groups=["status"])
         dfp = (op.Dfp("old", "127.0.0.1:0", "lb", "status", 0.1),)
-        harness = FrontEndHarness(make_configuration(one, dfp=dfp))
+        harness = FrontEndHarness(make_configuration(follower, dfp=dfp))
         async with (
             harness.serving() as addresses,
             DfpClient(addresses["old"], uniform=shortest_wait) as client,
@@ -120,64 +123,68 @@
             client.state_machine.tables = {"status": client.state_machine.table}
             client.weights = lambda group: tuple(client.state_machine.table.values())
             comparison = TableComparison(harness, client)
-            await harness.steps(6, comparison)
+            await harness.advance_with_io(6, comparison)
             harness.sums["a"], harness.sums["b"] = (10, 0, 80), (10, 0, 500)
-            await harness.steps(8, comparison)
+            await harness.advance_with_io(8, comparison)
             harness.hear(changes(line("c", "draining")))
-            await harness.steps(2, comparison)
+            await harness.advance_with_io(2, comparison)
             harness.hear(changes(line("c", started=harness.now / 10_000)))
-            await harness.steps(20, comparison)
+            await harness.advance_with_io(20, comparison)
             return comparison.compared
 
     assert asyncio.run(scenario()) >= 12
 
 
-def test_over_a_restart_a_client_keeps_its_advice_until_the_first_good_table():
-    told = []
+def test_client_keeps_its_advice_over_a_restart_until_the_first_table():
+    received = []
 
     async def watch(client):
         async for update in client.updates():
-            told.append({w.port: w.weight for w in update.weights})
+            received.append({w.port: w.weight for w in update.weights})
 
     async def scenario():
         harness = FrontEndHarness(make_configuration(pace=0.1))
         async with contextlib.AsyncExitStack() as stack:
             async with harness.serving() as addresses:
                 client = await stack.enter_async_context(sasp_client(addresses, harness))
-                watching = asyncio.create_task(watch(client))
+                watch_task = asyncio.create_task(watch(client))
                 await until(lambda: harness.follower_events)
                 harness.sums["a"] = (10, 0, 500)
                 comparison = TableComparison(harness, client)
-                await harness.steps(9, comparison)
-                former = weights_by_port(client)
-            assert len(told) >= 3
-            # Killed; it comes again at its address, and has not heard of anything but the list.
-            where = f"127.0.0.1:{addresses['sasp'][1]}"
-            again = FrontEndHarness(make_configuration(pace=0.1, listen=where), restarted=True, proxies=0)
-            again.sums = {}
-            again.hear(*(gp.ProxyJoined(p, 20.0, False, "z") for p in range(2)))
-            async with again.serving():
-                count = len(told)
-                await until(lambda: again.follower_events)
-                assert [e.fresh for e in again.follower_events if isinstance(e, gp.ProxyJoined)] == [False]
-                await again.steps(2)
-                assert weights_by_port(client) == former and len(told) == count
-                again.sums = {t: (10, 0, 500 if t == "a" else 200) for t in "abcdef"}
-                comparison = TableComparison(again, client)
-                await again.steps(8, comparison)
-                assert comparison.compared and len(told) > count
-            watching.cancel()
+                await harness.advance_with_io(9, comparison)
+                previous_weights = weights_by_port(client)
+            assert len(received) >= 3
+            # The assigner is restarted at the same address and knows only the task list.
+            address = f"127.0.0.1:{addresses['sasp'][1]}"
+            restarted = FrontEndHarness(
+                make_configuration(pace=0.1, listen=address), restarted=True, proxies=0
+            )
+            restarted.sums = {}
+            restarted.hear(*(gp.ProxyJoined(p, 20.0, False, "z") for p in range(2)))
+            async with restarted.serving():
+                count = len(received)
+                await until(lambda: restarted.follower_events)
+                assert [e.fresh for e in restarted.follower_events if isinstance(e, gp.ProxyJoined)] == [
+                    False
+                ]
+                await restarted.advance_with_io(2)
+                assert weights_by_port(client) == previous_weights and len(received) == count
+                restarted.sums = {t: (10, 0, 500 if t == "a" else 200) for t in "abcdef"}
+                comparison = TableComparison(restarted, client)
+                await restarted.advance_with_io(8, comparison)
+                assert comparison.compared and len(received) > count
+            watch_task.cancel()
 
     asyncio.run(scenario())
-    assert all(any(weights.values()) for weights in told)
+    assert all(any(weights.values()) for weights in received)
 
 
-def test_a_drained_node_leaves_within_the_grace_or_the_client_goes():
-    """One client answers, one reads and says nothing, one does not even read."""
+def test_drain_is_confirmed_within_the_grace_period_or_the_client_is_closed():
+    """One client confirms updates, one reads but sends no messages, one does not read."""
 
     async def scenario():
-        names = [make_follower(name, rate=1.0) for name in ("answers", "silent", "deaf")]
-        harness = FrontEndHarness(make_configuration(*names, pace=0.1))
+        followers = [make_follower(name, rate=1.0) for name in ("answers", "silent", "not_reading")]
+        harness = FrontEndHarness(make_configuration(*followers, pace=0.1))
         async with contextlib.AsyncExitStack() as stack:
             addresses = await stack.enter_async_context(harness.serving())
             answers, silent = [
@@ -187,27 +194,27 @@
                 for name in ("answers", "silent")
             ]
             reader, writer = await asyncio.open_connection(*addresses["sasp"], limit=1_024)
-            name = m.GroupName(b"deaf", b"status")
+            name = m.GroupName(b"not_reading", b"status")
             members = tuple(m.MemberData.of(*at) for at in harness.members("abcdef"))
-            writer.write(codec.encode(m.SetLbState(1, b"deaf", 0, True, False, False)))
+            writer.write(codec.encode(m.SetLbState(1, b"not_reading", 0, True, False, False)))
             writer.write(codec.encode(m.Register(2, True, ((name, members),))))
             await until(lambda: len(harness.follower_events) == 3)
-            await harness.steps(1.5)
+            await harness.advance_with_io(1.5)
             await until(lambda: weights_by_port(answers) and weights_by_port(silent))
-            drained = harness.now
+            drained_at = harness.now
             harness.hear(changes(line("a", "draining")))
             port = harness.task_addresses.by_task["a"][1]
             await until(lambda: not weights_by_port(answers)[port] and not weights_by_port(silent)[port])
-            left = {}
-            while len(left) < 2 and harness.now < drained + 40_000:
-                await harness.steps(0.1)
+            leave_delays = {}
+            while len(leave_delays) < 2 and harness.now < drained_at + 40_000:
+                await harness.advance_with_io(0.1)
                 await asyncio.sleep(0.002)
                 for event in harness.follower_events:
                     if isinstance(event, gp.ProxyLeft):
-                        left[event.proxy - FIRST_FOLLOWER_NUMBER] = harness.now - drained
-            assert sorted(left) == [1, 2] and max(left.values()) < 30_000
+                        leave_delays[event.proxy - FIRST_FOLLOWER_NUMBER] = harness.now - drained_at
+            assert sorted(leave_delays) == [1, 2] and max(leave_delays.values()) < 30_000
             writer.transport.abort()
-            # Who answered is still there; who did not is held out at first, then let in.
+            # The confirming client stays connected; the silent one is refused at first, then admitted.
             assert answers.log == ["opened"]
             await until(lambda: silent.log.count("opened") > 1)
             await until(lambda: any("refused" in x for x in silent.log))
@@ -215,19 +222,19 @@
     asyncio.run(scenario())
 
 
-def test_a_flood_costs_the_fronts_no_more_than_their_room():
+def test_connection_flood_stays_within_the_limits():
     async def scenario():
         harness = FrontEndHarness(make_configuration(connections=16, message_kib=64, unread_kib=64, pace=0.1))
         async with harness.serving() as addresses, sasp_client(addresses, harness) as client:
             await until(lambda: harness.follower_events)
-            await harness.steps(1)
+            await harness.advance_with_io(1)
             await until(lambda: weights_by_port(client))
-            manager, most = harness.front_ends.manager, 0
+            manager, max_seen = harness.front_ends.manager, 0
             opened = []
             for k in range(1_000):
                 with contextlib.suppress(OSError):
                     opened.append(await asyncio.open_connection(*addresses["sasp"]))
-                    # A header that promises 1 MiB, half a header, nothing at all, or plain noise.
+                    # A header that announces 1 MiB, half a header, nothing, or random bytes.
                     with contextlib.suppress(OSError):
                         opened[-1][1].write(
                             [bytes.fromhex("2010000d0100100000000000ff"), b"\x20\x10", b"", os.urandom(300)][
@@ -236,17 +243,17 @@
                         )
                 if k % 50 == 0:
                     await asyncio.sleep(0.01)
-                    most = max(most, len(manager.connections))
+                    max_seen = max(max_seen, len(manager.connections))
             await until(lambda: len(manager.connections) <= 16)
-            assert most <= 16 + 128  # those the listener has taken in this turn and not yet looked at
-            held = sum(len(x.decoder.buffer) for x in manager.connections.values())
-            assert held <= 16 * 65_536
-            # A link dropped while its words wait to be heard waits no longer: they piled up by thousands.
+            assert max_seen <= 16 + 128  # accepted in this iteration, but not yet checked
+            buffered = sum(len(x.decoder.buffer) for x in manager.connections.values())
+            assert buffered <= 16 * 65_536
+            # A connection closed with queued input must end its task; thousands of them used to pile up.
             await until(lambda: len(asyncio.all_tasks()) <= 16 + 8)
-            # The follower stayed, and the native channel's Brain never heard of any of it.
+            # The follower stays connected, and the Brain gets no event of the flood.
             assert client.log == ["opened"]
             assert not any(isinstance(e, gp.ProxyLeft) for e in harness.follower_events)
-            await harness.steps(3)
+            await harness.advance_with_io(3)
             await until(lambda: not [x for x in manager.connections.values() if x.session.follower is None])
             for _, writer in opened:
                 writer.transport.abort()
@@ -254,7 +261,7 @@
     asyncio.run(scenario())
 
 
-def test_a_trickle_of_single_bytes_is_read_or_ended():
+def test_slow_message_is_read_or_times_out():
     async def scenario():
         harness = FrontEndHarness(make_configuration())
         async with harness.serving() as addresses:
@@ -267,22 +274,22 @@
                 writer.write(bytes([byte]))
                 await asyncio.sleep(0)
             decoder = codec.MessageDecoder(4096)
-            platform_replies = []
-            while not platform_replies:
-                platform_replies = list(decoder.feed(await reader.read(4096)))
-            assert platform_replies[0].code == 0
-            # The next one never ends.
+            replies = []
+            while not replies:
+                replies = list(decoder.feed(await reader.read(4096)))
+            assert replies[0].code == 0
+            # The next message is never completed.
             writer.write(whole[:20])
             connection = next(iter(harness.front_ends.manager.connections.values()))
             await until(lambda: connection.session.partial_message_since is not None)
-            await harness.steps(2.2)
+            await harness.advance_with_io(2.2)
             assert await reader.read() == b""
 
     asyncio.run(scenario())
 
 
 @pytest.mark.parametrize("size", [1, 7, 4096])
-def test_a_client_that_dies_within_a_message_registers_again(size):
+def test_client_reconnects_after_a_break_within_a_message(size):
     async def scenario():
         harness = FrontEndHarness(make_configuration(pace=0.1))
         async with harness.serving() as addresses:
@@ -297,16 +304,16 @@
             await until(lambda: any(isinstance(e, gp.ProxyLeft) for e in harness.follower_events))
             async with sasp_client(addresses, harness) as client:
                 await until(lambda: sum(isinstance(e, gp.ProxyJoined) for e in harness.follower_events) == 2)
-                await harness.steps(1)
+                await harness.advance_with_io(1)
                 await until(lambda: weights_by_port(client))
 
     asyncio.run(scenario())
 
 
-def test_a_jam_gives_each_client_one_update_a_pace_and_the_latest_at_last():
+def test_rapid_changes_send_one_update_per_interval_and_the_newest_at_last():
     async def scenario():
-        names = [make_follower(f"lb{k}", rate=1.0) for k in range(8)]
-        harness = FrontEndHarness(make_configuration(*names, pace=1.0), tasks="abcdefghij")
+        followers = [make_follower(f"lb{k}", rate=1.0) for k in range(8)]
+        harness = FrontEndHarness(make_configuration(*followers, pace=1.0), tasks="abcdefghij")
         async with contextlib.AsyncExitStack() as stack:
             addresses = await stack.enter_async_context(harness.serving())
             clients = [
@@ -314,18 +321,18 @@
                 for k in range(8)
             ]
             await until(lambda: len(harness.follower_events) == 8)
-            await harness.steps(1.5)
+            await harness.advance_with_io(1.5)
             await until(lambda: all(weights_by_port(c) for c in clients))
             before = [c.state_machine.serial for c in clients]
-            start = harness.now
-            for n in range(25):  # the shares of all jump ten times a second
+            started_at = harness.now
+            for n in range(25):  # all weights change ten times per second
                 harness.last = [gp.SetLine(1, t, 0.5 + (n + k) % 10 / 10) for k, t in enumerate("abcdefghij")]
                 harness.now += 1_000
                 harness.front_ends.follow(harness.now, [], harness.last)
                 harness.front_ends.manager.timers.run_due() if harness.front_ends.manager.timers else None
                 await asyncio.sleep(0.005)
             after = [c.state_machine.serial - b for c, b in zip(clients, before, strict=True)]
-            assert max(after) <= 1 + (harness.now - start) // 10_000 and min(after) >= 1
+            assert max(after) <= 1 + (harness.now - started_at) // 10_000 and min(after) >= 1
             native_weights = {harness.task_addresses.by_task[o.task][1]: o.weight for o in harness.last}
 
             def settled():
@@ -338,7 +345,7 @@
     asyncio.run(scenario())
 
 
-def test_a_refused_group_is_told_why_and_the_others_serve():
+def test_refused_group_does_not_affect_other_groups():
     async def scenario():
         harness = FrontEndHarness(make_configuration(make_follower(retries="any")))
         async with (
@@ -350,14 +357,14 @@
         harness = FrontEndHarness(make_configuration(make_follower(retries="any"), pace=0.1))
         async with harness.serving() as addresses, sasp_client(addresses, harness) as client:
             await until(lambda: harness.follower_events)
-            await harness.steps(1)
+            await harness.advance_with_io(1)
             await until(lambda: weights_by_port(client))
 
     asyncio.run(scenario())
 
 
-def test_a_second_manager_that_has_not_heard_lists_nobody_again():
-    """Two assigners, one balancer at both; the second one's list is late."""
+def test_drain_known_to_one_manager_holds_in_the_merged_advice():
+    """Two assigners and one balancer that follows both; the second assigner's task list is late."""
 
     async def scenario():
         harnesses = [FrontEndHarness(make_configuration(pace=0.1)) for _ in range(2)]
@@ -367,7 +374,7 @@
                 addresses = await stack.enter_async_context(harness.serving())
                 clients.append(await stack.enter_async_context(sasp_client(addresses, harness)))
                 await until(lambda harness=harness: harness.follower_events)
-                await harness.steps(1.5)
+                await harness.advance_with_io(1.5)
             await until(lambda: all(weights_by_port(client) for client in clients))
             port = harnesses[0].task_addresses.by_task["a"][1]
 
@@ -378,81 +385,81 @@
             assert port in merged() and len(merged()) == 6
             harnesses[0].hear(changes(line("a", "draining")))
             await until(lambda: not weights_by_port(clients[0])[port])
-            # A step at the one that has not heard, and a reconnect there: the node stays out.
+            # The task stays out over new weights and a reconnect at the manager that does not know the drain.
             harnesses[1].sums["b"] = (10, 0, 500)
-            await harnesses[1].steps(5)
+            await harnesses[1].advance_with_io(5)
             assert weights_by_port(clients[1])[port] and port not in merged()
             next(iter(harnesses[1].front_ends.manager.connections.values())).writer.transport.abort()
             await until(lambda: clients[1].log.count("opened") == 2)
-            await harnesses[1].steps(1)
+            await harnesses[1].advance_with_io(1)
             await until(lambda: weights_by_port(clients[1])[port])
             assert port not in merged() and len(merged()) == 5
 
     asyncio.run(scenario())
 
 
-def test_parts_of_a_fleet_add_up_whatever_their_scales():
-    def told(**weights):
+def test_merge_adds_parts_of_a_fleet_regardless_of_scale():
+    def update(**weights):
         return Update("g", tuple(Weight(k, 1, "", w) for k, w in weights.items()), 1, 0)
 
-    one, other = told(a=10_000, b=20_000, c=0, d=0), told(a=0, b=0, c=2_500, d=5_000)
+    one, other = update(a=10_000, b=20_000, c=0, d=0), update(a=0, b=0, c=2_500, d=5_000)
     merged = {host: w for (host, _), w in merge([one, other]).items()}
     assert merged["a"] == merged["c"] and merged["b"] == merged["d"] == 2 * merged["a"]
-    assert merge([told(a=0)]) == {} == merge([])
+    assert merge([update(a=0)]) == {} == merge([])
 
 
-def test_a_fault_in_one_session_ends_that_one_alone(monkeypatch):
+def test_error_in_one_session_closes_only_that_connection(monkeypatch):
     async def scenario():
         harness = FrontEndHarness(
             make_configuration(make_follower("lb", rate=1.0), make_follower("other", rate=1.0), pace=0.1)
         )
         async with harness.serving() as addresses, sasp_client(addresses, harness) as client:
             await until(lambda: harness.follower_events)
-            await harness.steps(1.5)
+            await harness.advance_with_io(1.5)
             await until(lambda: weights_by_port(client))
-            wanted = Session.wanted_weights
+            original = Session.wanted_weights
 
-            def faulty(self, sheet):
+            def faulty(self, table):
                 if self.follower.name == "other":
                     raise RuntimeError("a fault")
-                return wanted(self, sheet)
+                return original(self, table)
 
             monkeypatch.setattr(Session, "wanted_weights", faulty)
             async with sasp_client(addresses, harness, uid="other") as other:
                 await until(lambda: other.log.count("opened") > 1)
-                await harness.steps(1)
+                await harness.advance_with_io(1)
                 before = client.state_machine.serial
                 harness.sums["a"] = (10, 0, 600)
-                await harness.steps(6)
+                await harness.advance_with_io(6)
                 await until(lambda: client.state_machine.serial > before)
                 assert client.log == ["opened"] and not weights_by_port(other)
 
     asyncio.run(scenario())
 
 
-def test_a_fault_in_the_book_closes_the_fronts_and_nothing_else(monkeypatch):
+def test_error_in_the_snapshot_builder_closes_only_the_front_ends(monkeypatch):
     async def scenario():
-        harness = FrontEndHarness(make_configuration(pace=0.1))
-        async with harness.serving() as addresses, sasp_client(addresses, harness) as client:
-            await until(lambda: harness.follower_events)
-            await harness.steps(1.5)
+        play = FrontEndHarness(make_configuration(pace=0.1))
+        async with play.serving() as addresses, sasp_client(addresses, play) as client:
+            await until(lambda: play.follower_events)
+            await play.advance_with_io(1.5)
             await until(lambda: weights_by_port(client))
 
             def faulty(*_):
                 raise RuntimeError("a fault")
 
-            monkeypatch.setattr(harness.front_ends.snapshot_builder, "update", faulty)
-            await harness.steps(0.5)
-            await until(lambda: not harness.front_ends.manager.connections)
-            await harness.steps(3)
-            assert FIRST_FOLLOWER_NUMBER not in harness.brain.proxies and harness.brain.tables[0].laid
+            monkeypatch.setattr(play.front_ends.snapshot_builder, "update", faulty)
+            await play.advance_with_io(0.5)
+            await until(lambda: not play.front_ends.manager.connections)
+            await play.advance_with_io(3)
+            assert FIRST_FOLLOWER_NUMBER not in play.brain.proxies and play.brain.tables[0].laid
             await until(lambda: any("connect:" in x for x in client.log))
-            assert weights_by_port(client)  # what it was told stands
+            assert weights_by_port(client)  # the last advice stays in force
 
     asyncio.run(scenario())
 
 
-def test_a_listener_that_cannot_be_had_names_its_block():
+def test_failed_listener_names_its_configuration_block():
     async def scenario():
         harness = FrontEndHarness(make_configuration())
         async with harness.serving() as addresses:
@@ -463,15 +470,15 @@
     asyncio.run(scenario())
 
 
-def started(arguments, code):
-    """What the program prints with these arguments and this Python before it."""
+def run_program(arguments, code):
+    """Runs this Python code with these arguments."""
     command = [sys.executable, "-c", code, *arguments]
     return subprocess.run(command, capture_output=True, text=True, timeout=60)
 
 
 @pytest.mark.parametrize("operator", [False, True])
-def test_without_an_operators_file_nothing_new_is_loaded_or_opened(operator, tmp_path):
-    """`serve` is started and looked at, then told to end."""
+def test_front_ends_are_loaded_only_with_an_operator_configuration(operator, tmp_path):
+    """Starts `serve`, reads its log and import times, then terminates it."""
     config = json.loads(pathlib.Path("examples/assigner.json").read_text()) | {"listen": "127.0.0.1:0"}
     (tmp_path / "config.json").write_text(json.dumps(config))
     (tmp_path / "operator.hcl").write_text('sasp {\n  listen = "127.0.0.1:0"\n}\n')
@@ -483,21 +490,25 @@
     with subprocess.Popen(
         command, stdout=subprocess.PIPE, stderr=subprocess.PIPE, text=True, env=environment
     ) as serve:
-        said = []
-        while "event=serving" not in (said or [""])[-1]:
-            said.append(serve.stdout.readline())
-            assert said[-1], serve.stderr.read()
+        output_lines = []
+        while "event=serving" not in (output_lines or [""])[-1]:
+            output_lines.append(serve.stdout.readline())
+            assert output_lines[-1], serve.stderr.read()
         serve.send_signal(signal.SIGTERM)
-        errors = serve.communicate(timeout=60)[1]
-    loaded = {x.rsplit("|", 1)[-1].strip() for x in errors.splitlines() if x.startswith("import time:")}
+        import_log = serve.communicate(timeout=60)[1]
+    loaded = {x.rsplit("|", 1)[-1].strip() for x in import_log.splitlines() if x.startswith("import time:")}
     assert "garnetpaddle.brain" in loaded and serve.returncode == 0
-    new = {f"garnetpaddle.{name}" for name in ("operator", "book", "advice", "sasp", "dfp", "fronts")}
-    assert (loaded & (new | {"click", "rich.console", "hcl2", "lark", "ddsketch"}) == set()) != operator
-    assert any("front_open" in x for x in said) == operator
+    optional_modules = {
+        f"garnetpaddle.{name}" for name in ("operator", "book", "advice", "sasp", "dfp", "fronts")
+    }
+    assert (
+        loaded & (optional_modules | {"click", "rich.console", "hcl2", "lark", "ddsketch"}) == set()
+    ) != operator
+    assert any("front_open" in x for x in output_lines) == operator
 
 
 @pytest.mark.parametrize(
-    "arguments, code, said",
+    "arguments, code, expected",
     [
         (["version"], 0, r"\d"),
         (["check", "examples/assigner.json"], 0, "fine"),
@@ -515,21 +526,21 @@
         ([], 2, "Usage"),
     ],
 )
-def test_commands_and_their_exit_codes(arguments, code, said):
+def test_commands_and_their_exit_codes(arguments, code, expected):
     environment = {k: v for k, v in os.environ.items() if k not in ("ROUTER_CONFIG", "GARNET_OPERATOR")}
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-m", "garnetpaddle", *arguments],
         capture_output=True,
         text=True,
         timeout=60,
         env=environment,
     )
-    assert done.returncode == code and re.search(said, done.stdout + done.stderr)
+    assert completed.returncode == code and re.search(expected, completed.stdout + completed.stderr)
 
 
-def test_a_missing_library_names_the_extra():
+def test_missing_library_names_the_extra_to_install():
     code = "import sys; sys.modules['hcl2'] = None; from garnetpaddle.__main__ import main; sys.exit(main())"
-    done = started(["check", "examples/assigner.json", "--operator", "deploy/operator.hcl"], code)
-    assert done.returncode == 2 and "garnetpaddle[operator]" in done.stderr
-    done = started(["version"], code.replace("hcl2", "click"))
-    assert done.returncode == 2 and "garnetpaddle[cli]" in done.stderr
+    completed = run_program(["check", "examples/assigner.json", "--operator", "deploy/operator.hcl"], code)
+    assert completed.returncode == 2 and "garnetpaddle[operator]" in completed.stderr
+    completed = run_program(["version"], code.replace("hcl2", "click"))
+    assert completed.returncode == 2 and "garnetpaddle[cli]" in completed.stderr
