--- a/garnetpaddle/advice/session.py
+++ b/garnetpaddle/advice/session.py
@@ -68,31 +68,31 @@
 
     def handle(self, now, event):
         """Handles one event; returns the actions."""
-        out = []
+        actions = []
         if self.closed and not isinstance(event, ConnectionLost):
-            return out
+            return actions
         match event:
             case MessageReceived(message):
-                self.receive(now, message, out)
+                self.receive(now, message, actions)
             case InputProcessed(incomplete):
                 self.partial_message_since = (self.partial_message_since or now) if incomplete else None
             case InputDelayed(duration):
                 self.extend_time_limits(duration)
-                return out
+                return actions
             case SnapshotPublished(snapshot):
                 self.registry.snapshot = snapshot
             case BytesAcknowledged(total):
                 self.acknowledge(now, total)
             case ConnectionLost(why):
-                self.release_lease(now, why, False, out)
-                return out
+                self.release_lease(now, why, False, actions)
+                return actions
             case TimerExpired():
                 self.timer_at = None
         if not self.closed:
-            self.check(now, out)
+            self.check(now, actions)
         if not self.closed:
-            self.set_timer(now, out)
-        return out
+            self.set_timer(now, actions)
+        return actions
 
     def extend_time_limits(self, duration):
         """Extends the client's time limits by the time for which its input was queued here."""
@@ -101,20 +101,20 @@
             None if self.partial_message_since is None else self.partial_message_since + duration
         )
 
-    def receive(self, now, message, out):
+    def receive(self, now, message, actions):
         """Handles a message after the rate limit, and records what it confirms."""
         self.partial_message_since = None
         if now - self.rate_period_start >= RATE_PERIOD:
             self.message_count, self.rate_period_start = 0, now
         self.message_count += 1
         if self.message_count > MAX_MESSAGES:
-            return self.close(now, "too many messages", out)
+            return self.close(now, "too many messages", actions)
         if self.follower:
             self.confirm_updates(now)
         elif self.acked > 0:
             self.has_read_reply = True
         self.deadline = now + REGISTRATION_TIMEOUT
-        self.handle_message(now, message, out)
+        self.handle_message(now, message, actions)
 
     def confirm_updates(self, now):
         """Confirms the updates acknowledged before this message of a follower, and renews the lease."""
@@ -133,13 +133,13 @@
             if progress and self.delivery.confirmed_by == "acknowledged":
                 self.registry.leases.renew(now, self.follower.name, self.connection)
 
-    def write(self, data, out):
+    def write(self, data, actions):
         self.written += len(data)
-        out.append(WriteBytes(data))
+        actions.append(WriteBytes(data))
 
-    def close(self, now, why, out, failed=False):
+    def close(self, now, why, actions, failed=False):
         """Closes the connection. failed: the client did not confirm a drain in time."""
-        out.append(
+        actions.append(
             log_line(
                 "follower_closed" if self.follower else "stranger_closed",
                 warning=bool(self.follower),
@@ -147,13 +147,13 @@
                 why=why,
             )
         )
-        self.release_lease(now, why, failed, out)
-        out.append(CloseConnection(why))
+        self.release_lease(now, why, failed, actions)
+        actions.append(CloseConnection(why))
         self.closed = True
 
     # The lease
 
-    def acquire_lease(self, now, follower, out):
+    def acquire_lease(self, now, follower, actions):
         """Acquires the follower's lease; returns the previous holder, or None.
 
         The caller has checked `leases.refusal_reason` before."""
@@ -166,17 +166,17 @@
             self.delivery.acknowledge(self.acked)
             self.joined_at = now
             self.registry.sessions[self.connection] = self
-            out.append(log_line("follower_joined", follower=follower.name, replaces=previous is not None))
-        out += [PublishEvent(event) for event in events]
+            actions.append(log_line("follower_joined", follower=follower.name, replaces=previous is not None))
+        actions += [PublishEvent(event) for event in events]
         return previous
 
-    def release_lease(self, now, why, failed, out):
+    def release_lease(self, now, why, failed, actions):
         """Gives up the lease and the groups."""
         if self.follower is None:
             return
         events = self.registry.leases.release(now, self.follower.name, self.connection, failed)
-        out += [PublishEvent(event) for event in events]
-        out.append(log_line("follower_left", follower=self.follower.name, why=why))
+        actions += [PublishEvent(event) for event in events]
+        actions.append(log_line("follower_left", follower=self.follower.name, why=why))
         self.registry.sessions.pop(self.connection, None)
         self.follower, self.groups = None, {}
 
@@ -236,36 +236,36 @@
             del group.drained[key, task]
             self.delivery.cancel_drain(task)
 
-    def check(self, now, out):
+    def check(self, now, actions):
         """Checks the time limits, then sends what is due."""
         if self.partial_message_since is not None and now >= self.partial_message_since + MESSAGE_TIMEOUT:
             failed = bool(self.delivery and self.delivery.drain_deadlines)
-            return self.close(now, "half a message", out, failed=failed)
+            return self.close(now, "half a message", actions, failed=failed)
         if self.follower is None:
             if now >= self.deadline:
-                self.close(now, "has not registered", out)
+                self.close(now, "has not registered", actions)
             return None
         if self.registry.leases.by_name[self.follower.name].holder != self.connection:
-            return self.close(now, "another connection took its seat", out)
+            return self.close(now, "another connection took its seat", actions)
         table, versions = self.weight_table(), self.group_versions()
         if self.up_to_date_version != (table.generation, versions):
             self.record_drains(table)
         if why := self.delivery.overdue_reason(now):
-            return self.close(now, why, out, failed=True)
+            return self.close(now, why, actions, failed=True)
         if self.push_enabled and self.up_to_date_version != (table.generation, versions):
-            self.push(now, table, versions, out)
-        self.publish_mark(now, out)
+            self.push(now, table, versions, actions)
+        self.publish_mark(now, actions)
         return None
 
-    def publish_mark(self, now, out):
+    def publish_mark(self, now, actions):
         """Reports the newest mark whose update is confirmed to the Brain."""
         mark = self.delivery.mark
         if mark is not None and mark != self.published_mark:
             self.published_mark = mark
             number = self.registry.proxy_number(self.follower.name)
-            out.append(PublishEvent(gp.Applied(number, mark, max(0, now - self.delivery.sent_at))))
+            actions.append(PublishEvent(gp.Applied(number, mark, max(0, now - self.delivery.sent_at))))
 
-    def push(self, now, table, versions, out):
+    def push(self, now, table, versions, actions):
         """Sends an update if something changed and the client may be written to."""
         drained = self.delivery.unsent_drains(table.closed)
         if not self.delivery.may_send(now, urgent=bool(drained)):
@@ -282,7 +282,7 @@
                 for name, group in wanted.items()
                 if any(self.groups[name].members[key].current_task(table) in drained for key in group)
             }
-        self.write(self.encode_update(table, wanted, changed), out)
+        self.write(self.encode_update(table, wanted, changed), actions)
         self.record_update(now, table, wanted, drained)
         self.up_to_date_version = table.generation, versions
 
@@ -295,7 +295,7 @@
         """Returns a value that changes whenever groups or members do."""
         return tuple(group.version for group in self.groups.values())
 
-    def set_timer(self, now, out):
+    def set_timer(self, now, actions):
         """Sets the timer to the next time limit."""
         times = [] if self.partial_message_since is None else [self.partial_message_since + MESSAGE_TIMEOUT]
         if self.follower is None:
@@ -314,11 +314,11 @@
             at = max(at, now + 1)
         if at != self.timer_at:
             self.timer_at = at
-            out.append(SetTimer(at))
+            actions.append(SetTimer(at))
 
     # Implemented by the protocols' sessions
 
-    def handle_message(self, now, message, out):
+    def handle_message(self, now, message, actions):
         """Handles one message of the client."""
         raise NotImplementedError
 
--- a/garnetpaddle/advice/weight_scale.py
+++ b/garnetpaddle/advice/weight_scale.py
@@ -13,15 +13,15 @@
     def __init__(self):
         self.halvings = 0
 
-    def to_integers(self, lines, round_down=()):
+    def to_integers(self, weights, round_down=()):
         """Returns task -> integer from 1 to 65535.
 
-        lines: task -> weight above 0, averaging 1; round_down: cold tasks, which must not get more than their
-        share."""
-        largest = max(lines.values(), default=0.0) * UNIT
+        weights: task -> weight above 0, averaging 1; round_down: cold tasks, which must not get more than
+        their share."""
+        largest = max(weights.values(), default=0.0) * UNIT
         while largest / 2**self.halvings > MAX_WEIGHT:
             self.halvings += 1
         while self.halvings and largest / 2 ** (self.halvings - 1) <= REGROW_FRACTION * MAX_WEIGHT:
             self.halvings -= 1
         unit = UNIT / 2**self.halvings
-        return {k: max(1, int(w * unit) if k in round_down else round(w * unit)) for k, w in lines.items()}
+        return {k: max(1, int(w * unit) if k in round_down else round(w * unit)) for k, w in weights.items()}
--- a/garnetpaddle/client/dfp_manager.py
+++ b/garnetpaddle/client/dfp_manager.py
@@ -43,17 +43,17 @@
 
     def handle(self, now, event):
         """Handles one event; returns the actions."""
-        out = []
+        actions = []
         match event:
             case ConnectionOpened():
                 self.state, self.next_action_at = State.FOLLOWING, now + self.silence_timeout()
-                out.append(SendBytes(codec.encode(codec.Parameters(self.keep_alive), self.key)))
+                actions.append(SendBytes(codec.encode(codec.Parameters(self.keep_alive), self.key)))
             case MessageReceived(codec.Preference(loads)):
                 self.failures, self.next_action_at = 0, now + self.silence_timeout()
                 if loads:
-                    self.apply_loads(now, loads, out)
+                    self.apply_loads(now, loads, actions)
             case MessageReceived(codec.InvalidMessage(why)):
-                out.append(Disconnect(f"unreadable: {why}"))
+                actions.append(Disconnect(f"unreadable: {why}"))
             case ConnectionClosed():
                 wait = backoff(MIN_RECONNECT_WAIT, MAX_RECONNECT_WAIT, self.failures, self.uniform)
                 self.state, self.failures, self.next_action_at = (
@@ -63,18 +63,18 @@
                 )
             case TimerExpired() if self.next_action_at is not None and now >= self.next_action_at:
                 self.next_action_at = None
-                out.append(
+                actions.append(
                     Connect() if self.state is State.DISCONNECTED else Disconnect("the agent is silent")
                 )
         if self.next_action_at is not None:
-            out.append(SetTimer(self.next_action_at))
-        return out
+            actions.append(SetTimer(self.next_action_at))
+        return actions
 
     def silence_timeout(self):
         """Returns how long the agent may be silent, in tenths of a ms."""
         return self.keep_alive * MISSED_KEEP_ALIVES * SECOND
 
-    def apply_loads(self, now, loads, out):
+    def apply_loads(self, now, loads, actions):
         """Applies the weights of a Preference message."""
         for load in loads:
             for host in load.hosts:
@@ -83,4 +83,4 @@
                     address, load.port, "", host.weight, quiesced=not host.weight
                 )
         self.serial += 1
-        out.append(Update(self.name, tuple(self.table.values()), self.serial, now))
+        actions.append(Update(self.name, tuple(self.table.values()), self.serial, now))
--- a/garnetpaddle/client/sasp_balancer.py
+++ b/garnetpaddle/client/sasp_balancer.py
@@ -86,75 +86,75 @@
 
     def handle(self, now, event):
         """Handles one event; returns the actions."""
-        out = []
+        actions = []
         match event:
             case ConnectionOpened():
                 self.state, self.pending = State.REGISTERING, {}
-                self.send_lb_state(now, out)
-                self.register(now, out)
+                self.send_lb_state(now, actions)
+                self.register(now, actions)
             case MessageReceived(message):
-                self.receive(now, message, out)
+                self.receive(now, message, actions)
             case ConnectionClosed():
                 self.state, self.pending = State.DISCONNECTED, {}
                 wait = backoff(MIN_RECONNECT_WAIT, MAX_RECONNECT_WAIT, self.failures, self.uniform)
                 self.failures, self.next_action_at = self.failures + 1, now + wait
             case TimerExpired():
-                self.run_due(now, out)
+                self.run_due(now, actions)
             case ChangeMembers():
-                self.change_members(now, event, out)
+                self.change_members(now, event, actions)
         times = [request.deadline for request in self.pending.values()]
         times += [] if self.next_action_at is None else [self.next_action_at]
         if times:
-            out.append(SetTimer(min(times)))
-        return out
+            actions.append(SetTimer(min(times)))
+        return actions
 
-    def run_due(self, now, out):
+    def run_due(self, now, actions):
         """Disconnects if a reply is overdue, else does what is due in this state."""
         if any(request.deadline <= now for request in self.pending.values()):
             self.pending = {}
-            out.append(Disconnect("no reply"))
+            actions.append(Disconnect("no reply"))
             return
         if self.next_action_at is None or now < self.next_action_at:
             return
         self.next_action_at = None
         match self.state:
             case State.DISCONNECTED:
-                out.append(Connect())
+                actions.append(Connect())
             case State.REFUSED:
                 self.state = State.REGISTERING
-                self.register(now, out)
+                self.register(now, actions)
             case State.FOLLOWING:
-                self.request_weights(now, out)
+                self.request_weights(now, actions)
 
     # Requests
 
-    def send(self, now, make, request, out):
+    def send(self, now, make, request, actions):
         """Sends a request and records it as pending. make: id -> message."""
         self.message_id = self.message_id % MAX_MESSAGE_ID + 1
         self.pending[self.message_id] = PendingRequest(request, now + REPLY_TIMEOUT)
-        out.append(SendBytes(codec.encode(make(self.message_id))))
+        actions.append(SendBytes(codec.encode(make(self.message_id))))
 
-    def send_lb_state(self, now, out):
+    def send_lb_state(self, now, actions):
         """Tells the manager how this balancer wants to be served."""
         self.send(
             now,
             lambda n: m.SetLbState(n, self.uid, BALANCER_HEALTH, self.push, self.trust, self.no_change),
             "state",
-            out,
+            actions,
         )
 
-    def register(self, now, out):
+    def register(self, now, actions):
         groups = tuple(
             (self.group_name(name), tuple(members.values()))
             for name, members in self.groups.items()
             if members
         )
         if groups:
-            self.send(now, lambda n: m.Register(n, True, groups), "register", out)
+            self.send(now, lambda n: m.Register(n, True, groups), "register", actions)
 
-    def request_weights(self, now, out):
+    def request_weights(self, now, actions):
         """Requests the weights of all groups."""
-        self.send(now, lambda n: m.GetWeights(n, ()), "weights", out)
+        self.send(now, lambda n: m.GetWeights(n, ()), "weights", actions)
 
     def group_name(self, name):
         """Returns a group's name as sent to the manager."""
@@ -162,42 +162,42 @@
 
     # Messages from the manager
 
-    def receive(self, now, message, out):
+    def receive(self, now, message, actions):
         """Handles a message from the manager."""
         match message:
             case m.Weights() | m.Reply():
                 request = self.pending.pop(message.id, PendingRequest("", 0)).name
                 if message.code != ResponseCode.SUCCESS:
-                    self.handle_refusal(now, request, message.code, out)
+                    self.handle_refusal(now, request, message.code, actions)
                 elif isinstance(message, m.Weights):
-                    self.handle_weights_reply(now, message, out)
+                    self.handle_weights_reply(now, message, actions)
                 elif request == "register":
                     self.state, self.failures, self.refusals = State.FOLLOWING, 0, 0
-                    self.send_member_states(now, out)
-                    self.request_weights(now, out)
+                    self.send_member_states(now, actions)
+                    self.request_weights(now, actions)
             case m.SendWeights():
-                self.apply_weights(now, message.groups, out)
+                self.apply_weights(now, message.groups, actions)
                 if self.answers:
-                    self.send_lb_state(now, out)
+                    self.send_lb_state(now, actions)
             case _:
-                out.append(Disconnect("unreadable"))
+                actions.append(Disconnect("unreadable"))
 
-    def handle_refusal(self, now, request, code, out):
+    def handle_refusal(self, now, request, code, actions):
         """Reports a refused request; after a refused registration or poll, registers again with backoff."""
-        out.append(RequestRefused(request, code))
+        actions.append(RequestRefused(request, code))
         if request in ("register", "weights"):
             wait = backoff(MIN_REFUSAL_WAIT, MAX_REFUSAL_WAIT, self.refusals, self.uniform)
             self.state, self.refusals, self.next_action_at = State.REFUSED, self.refusals + 1, now + wait
 
-    def handle_weights_reply(self, now, message, out):
+    def handle_weights_reply(self, now, message, actions):
         """Applies the reply to a poll; polls again if weights are not pushed, or some group has none yet."""
         self.interval = max(message.interval, 1) * SECOND
-        self.apply_weights(now, message.groups, out)
+        self.apply_weights(now, message.groups, actions)
         complete = all(self.tables[name] for name, members in self.groups.items() if members)
         if not self.push or not complete:
             self.next_action_at = now + self.interval
 
-    def apply_weights(self, now, groups, out):
+    def apply_weights(self, now, groups, actions):
         """Applies weights of groups; unknown groups and members are ignored."""
         for name, entries in groups:
             group = name.name.decode("utf-8", "replace")
@@ -210,37 +210,37 @@
                     weights[key] = weight_of(entry)
             self.tables[group] |= weights
             self.serial += 1
-            out.append(Update(group, tuple(self.tables[group].values()), self.serial, now))
+            actions.append(Update(group, tuple(self.tables[group].values()), self.serial, now))
 
     # The user's changes
 
-    def change_members(self, now, event, out):
+    def change_members(self, now, event, actions):
         """Executes a ChangeMembers: at once while registered, else with the next registration."""
         members = self.groups.setdefault(event.group, {})
         self.tables.setdefault(event.group, {})
         changed = {codec.encode_member(data): data for data in event.members}
         match event.change:
             case Change.ADD:
-                self.add_members(now, event.group, members, changed, out)
+                self.add_members(now, event.group, members, changed, actions)
             case Change.REMOVE:
-                self.remove_members(now, event.group, members, changed, out)
+                self.remove_members(now, event.group, members, changed, actions)
             case Change.QUIESCE | Change.OPEN:
                 for key in changed:
                     self.quiesced.pop((event.group, key), None)
                     if event.change is Change.QUIESCE:
                         self.quiesced[event.group, key] = True
                 if self.state is State.FOLLOWING:
-                    self.send_member_states(now, out, {(event.group, key): True for key in changed})
+                    self.send_member_states(now, actions, {(event.group, key): True for key in changed})
 
-    def add_members(self, now, group, members, added, out):
+    def add_members(self, now, group, members, added, actions):
         """Adds members (key -> MemberData) to a group."""
         new_members = tuple(data for key, data in added.items() if key not in members)
         members |= added
         if self.state is State.FOLLOWING and new_members:
             name = self.group_name(group)
-            self.send(now, lambda n: m.Register(n, True, ((name, new_members),)), "add", out)
+            self.send(now, lambda n: m.Register(n, True, ((name, new_members),)), "add", actions)
 
-    def remove_members(self, now, group, members, removed, out):
+    def remove_members(self, now, group, members, removed, actions):
         """Removes members (key -> MemberData) from a group."""
         removed_members = tuple(data for key, data in removed.items() if key in members)
         for key in removed:
@@ -249,9 +249,9 @@
             self.quiesced.pop((group, key), None)
         if self.state is State.FOLLOWING and removed_members:
             name = self.group_name(group)
-            self.send(now, lambda n: m.Deregister(n, True, 1, ((name, removed_members),)), "drop", out)
+            self.send(now, lambda n: m.Deregister(n, True, 1, ((name, removed_members),)), "drop", actions)
 
-    def send_member_states(self, now, out, changed=None):
+    def send_member_states(self, now, actions, changed=None):
         """Sends which members are quiesced: the changed ones, or all after a registration."""
         groups = {}
         for group, key in changed or self.quiesced:
@@ -260,4 +260,4 @@
                 groups.setdefault(group, []).append(state)
         states = tuple((self.group_name(name), tuple(entries)) for name, entries in groups.items())
         if states:
-            self.send(now, lambda n: m.SetMemberState(n, True, states), "quiesce", out)
+            self.send(now, lambda n: m.SetMemberState(n, True, states), "quiesce", actions)
--- a/garnetpaddle/dfp/codec.py
+++ b/garnetpaddle/dfp/codec.py
@@ -229,16 +229,16 @@
 
 def encode_load(load):
     """Encodes a load: in several TLVs if it has more hosts than fit into one."""
-    out = []
+    tlvs = []
     for first in range(0, max(len(load.hosts), 1), MAX_HOSTS):
         hosts = load.hosts[first : first + MAX_HOSTS]
         head = LOAD.pack(load.port, load.protocol, load.flags, len(hosts), 0)
-        out.append(
+        tlvs.append(
             encode_tlv(
                 TlvType.LOAD, head + b"".join(HOST.pack(h.address, h.bind_id, h.weight) for h in hosts)
             )
         )
-    return b"".join(out)
+    return b"".join(tlvs)
 
 
 def frame(message_type, body, key=None):
--- a/garnetpaddle/dfp/session.py
+++ b/garnetpaddle/dfp/session.py
@@ -30,64 +30,64 @@
             now,
         )
 
-    def handle_message(self, now, message, out):
+    def handle_message(self, now, message, actions):
         """Handles one message of the manager."""
         match message:
             case codec.InvalidMessage(why, fatal):
-                out.append(log_line("message_unreadable", why=why))
+                actions.append(log_line("message_unreadable", why=why))
                 if fatal:
-                    self.close(now, "unreadable, or its security is wrong", out)
+                    self.close(now, "unreadable, or its security is wrong", actions)
             case codec.Parameters(keep_alive) if keep_alive is not None:
                 # 0 turns it off; the minimum keeps a short interval from flooding the manager.
                 self.keep_alive = max(keep_alive * SECOND, SECOND) if keep_alive else None
             case codec.BindIdRequest():
-                self.write(codec.encode(codec.BindIdReport(), self.key), out)
+                self.write(codec.encode(codec.BindIdReport(), self.key), actions)
             case codec.ServerState(loads):
                 held_out = sum(host.weight == 0 for load in loads for host in load.hosts)
                 name = self.configured_follower.name
-                out.append(log_line("manager_state", follower=name, held_out=held_out))
+                actions.append(log_line("manager_state", follower=name, held_out=held_out))
 
-    def check(self, now, out):
+    def check(self, now, actions):
         """Acquires the lease when possible, then checks and sends as every session does."""
         if self.follower is None and not self.closed:
-            self.try_acquire_lease(now, out)
+            self.try_acquire_lease(now, actions)
         if self.follower is None and not self.closed:
             # It may wait for its lease without a time limit, because the port identifies the follower.
             self.deadline = now + FIRST_MESSAGE_TIMEOUT
         if not self.closed:
             self.update_members(self.registry.snapshot)
-        super().check(now, out)
-        if any(isinstance(action, WriteBytes) for action in out):
+        super().check(now, actions)
+        if any(isinstance(action, WriteBytes) for action in actions):
             self.last_write_at = now
         if self.follower and self.keep_alive and now >= self.next_keep_alive_at():
             # Nothing has changed: an empty message serves as keep-alive.
-            self.write(codec.encode(codec.Preference(), self.key), out)
+            self.write(codec.encode(codec.Preference(), self.key), actions)
             self.last_write_at = now
 
     def next_keep_alive_at(self):
         """Returns by when the manager must be sent something."""
         return self.last_write_at + self.keep_alive // KEEP_ALIVES_PER_PERIOD
 
-    def try_acquire_lease(self, now, out):
+    def try_acquire_lease(self, now, actions):
         """Acquires the lease if the follower is allowed to."""
         if not self.initial_message_sent:
             self.initial_message_sent = True
-            self.write(codec.encode(codec.Preference(), self.key), out)
+            self.write(codec.encode(codec.Preference(), self.key), actions)
         follower, route = self.configured_follower, self.registry.groups[self.group_name]
         level = self.registry.level(follower.name, route)
         why = refusal_reason(route.effect, follower.retries, level, already_granted=False)
         if why:
-            out.append(log_line("follower_refused", warning=True, follower=follower.name, why=why))
-            return self.close(now, why, out)
+            actions.append(log_line("follower_refused", warning=True, follower=follower.name, why=why))
+            return self.close(now, why, actions)
         why = self.registry.leases.refusal_reason(now, follower.name, self.connection, self.acked > 0)
         if why:
             if why != self.logged_refusal:
-                out.append(log_line("follower_refused", warning=True, follower=follower.name, why=why))
+                actions.append(log_line("follower_refused", warning=True, follower=follower.name, why=why))
             self.logged_refusal = why
             return None
-        previous = self.acquire_lease(now, follower, out)
+        previous = self.acquire_lease(now, follower, actions)
         if previous is not None:
-            out.append(NotifySession(previous))
+            actions.append(NotifySession(previous))
         self.groups = {self.group_name: FollowedGroup(route)}
         return None
 
--- a/garnetpaddle/sasp/session.py
+++ b/garnetpaddle/sasp/session.py
@@ -75,21 +75,21 @@
         self.trust = self.no_change = self.inclusive_lengths = False
         self.last_message_id, self.poll_replies = 0, {}  # poll_replies: group names -> PollReply
 
-    def handle_message(self, now, message, out):
+    def handle_message(self, now, message, actions):
         """Handles a request and writes the reply."""
         if isinstance(message, codec.InvalidMessage):
             if data := codec.encode_not_understood_reply(message):
-                self.write(data, out)
-            out.append(log_line("message_unreadable", why=message.why))
+                self.write(data, actions)
+            actions.append(log_line("message_unreadable", why=message.why))
             if message.fatal:
-                self.close(now, "unreadable", out)
+                self.close(now, "unreadable", actions)
             return
         # A peer uses one form throughout; messages without nested components do not show which.
         self.inclusive_lengths = self.inclusive_lengths or message.inclusive_lengths
         try:
-            reply = self.handle_request(now, message, out)
+            reply = self.handle_request(now, message, actions)
         except RequestRefused as refusal:
-            out.append(
+            actions.append(
                 log_line(
                     "follower_refused",
                     warning=True,
@@ -100,10 +100,10 @@
             )
             reply = self.refusal_reply(message, refusal.code)
         except codec.EncodeError as error:
-            self.close(now, f"an answer that the wire has no room for: {error}", out)
+            self.close(now, f"an answer that the wire has no room for: {error}", actions)
             return
         if reply:
-            self.write(reply, out)
+            self.write(reply, actions)
             if isinstance(message, m.GetWeights) and self.follower and self.delivery:
                 self.record_poll(now)
 
@@ -126,23 +126,23 @@
             m.SetMemberState: MessageType.SET_MEMBER_STATE,
         }[type(message)]
 
-    def handle_request(self, now, message, out):
+    def handle_request(self, now, message, actions):
         """Executes a request; returns the reply as bytes, or raises RequestRefused."""
         match message:
             case m.Register(lb=True):
-                self.register(now, message, out)
+                self.register(now, message, actions)
             case m.Register():
-                self.register_self(message, out)
+                self.register_self(message, actions)
             case m.Deregister(lb=True):
-                self.deregister(now, message, out)
+                self.deregister(now, message, actions)
             case m.Deregister():
-                self.deregister_self(message, out)
+                self.deregister_self(message, actions)
             case m.GetWeights():
                 return self.reply_to_poll(now, message)
             case m.SetLbState():
-                self.set_lb_state(message, out)
+                self.set_lb_state(message, actions)
             case m.SetMemberState():
-                self.set_member_states(message, out)
+                self.set_member_states(message, actions)
             case _:
                 raise RequestRefused(ResponseCode.NOT_UNDERSTOOD, "a message that only a manager sends")
         return codec.encode(
@@ -156,7 +156,7 @@
 
     # Registration, section 6.1
 
-    def register(self, now, message, out):
+    def register(self, now, message, actions):
         """Registers members for a balancer: all of them or none."""
         if not message.groups:
             raise RequestRefused(ResponseCode.INVALID_GROUP, "no group")
@@ -181,9 +181,9 @@
         why = self.registry.leases.refusal_reason(now, follower.name, self.connection, self.has_read_reply)
         if why:
             raise RequestRefused(ResponseCode.NOT_ACCEPTED, why)
-        previous = self.acquire_lease(now, follower, out)
+        previous = self.acquire_lease(now, follower, actions)
         if previous is not None:
-            out.append(NotifySession(previous))
+            actions.append(NotifySession(previous))
         for group in added.values():
             group.version = self.registry.next_version()
         self.groups |= added
@@ -260,7 +260,7 @@
                 ResponseCode.NOT_ACCEPTED, f"member {data.endpoint} is not at the sender's address"
             )
 
-    def register_self(self, message, out):
+    def register_self(self, message, actions):
         """Registers members in groups of their balancers, at their own request."""
         added = []
         for name, members in message.groups:
@@ -282,9 +282,9 @@
         for session, copy in added:
             copy.version = self.registry.next_version()
             session.groups[copy.name.name] = copy
-            out.append(NotifySession(session.connection))
+            actions.append(NotifySession(session.connection))
 
-    def deregister_self(self, message, out):
+    def deregister_self(self, message, actions):
         """Removes members from groups of their balancers, at their own request."""
         removals = []
         for name, members in message.groups:
@@ -298,11 +298,11 @@
             for key in keys:
                 group.members[key] = replace(group.members[key], quiesced=True, registered=False)
             group.version = self.registry.next_version()
-            out.append(NotifySession(session.connection))
+            actions.append(NotifySession(session.connection))
 
     # Deregistration, section 6.2
 
-    def deregister(self, now, message, out):
+    def deregister(self, now, message, actions):
         """Removes members, groups or everything for a balancer."""
         if self.follower is None:
             raise RequestRefused(ResponseCode.UNKNOWN_LB_UID, "nothing is registered on this connection")
@@ -328,7 +328,7 @@
             group.version = self.registry.next_version()
         self.groups = {name: group for name, group in self.groups.items() if group.members}
         if not self.groups:
-            self.release_lease(now, "deregistered", False, out)
+            self.release_lease(now, "deregistered", False, actions)
 
     def own_group(self, name):
         """Returns this balancer's group of that name; raises RequestRefused."""
@@ -352,7 +352,7 @@
 
     # States, sections 6.5 and 6.6
 
-    def set_lb_state(self, message, out):
+    def set_lb_state(self, message, actions):
         """Sets how the balancer wants to be served."""
         follower = self.registry.followers.get(message.uid)
         if not message.uid:
@@ -366,7 +366,7 @@
             message.trust,
             message.no_change,
         ):
-            out.append(
+            actions.append(
                 log_line(
                     "follower_state",
                     follower=follower.name,
@@ -378,7 +378,7 @@
             )
         self.push_enabled, self.trust, self.no_change = message.push, message.trust, message.no_change
 
-    def set_member_states(self, message, out):
+    def set_member_states(self, message, actions):
         """Quiesces members or ends that, at the request of their balancer or of the members themselves."""
         changes = []
         for name, states in message.groups:
@@ -396,7 +396,7 @@
                 group.members[key] = replace(group.members[key], quiesced=state.quiesced, state=state.state)
             group.version = self.registry.next_version()
             if session is not self:
-                out.append(NotifySession(session.connection))
+                actions.append(NotifySession(session.connection))
 
     # Weights, sections 6.3 and 6.4
 
