--- a/garnetpaddle/client/sasp_balancer.py
+++ b/garnetpaddle/client/sasp_balancer.py
@@ -1,4 +1,4 @@
-"""A SASP balancer's side of RFC 4678, without I/O: what to send next, and what the advice is."""
+"""The load balancer's role of RFC 4678, without I/O: what to send next, and the current advice."""
 
 import enum
 from typing import NamedTuple
@@ -23,33 +23,33 @@
 )
 from garnetpaddle.sasp import codec
 from garnetpaddle.sasp import messages as m
-from garnetpaddle.sasp.constants import CONFIDENT, CONTACT, QUIESCE, Code
+from garnetpaddle.sasp.constants import CONFIDENT, CONTACT, QUIESCE, ResponseCode
 
-REPLY_TIMEOUT = 5 * SECOND  # a request unanswered so long: the manager is gone, whatever the connection says
-MIN_REFUSAL_WAIT, MAX_REFUSAL_WAIT = 10_000, 300_000  # 1 s, doubled up to 30 s: before registering again
+REPLY_TIMEOUT = 5 * SECOND  # without a reply, the manager counts as gone even if the connection is open
+MIN_REFUSAL_WAIT, MAX_REFUSAL_WAIT = 10_000, 300_000  # before registering again: 1 s, doubled up to 30 s
 MAX_MESSAGE_ID = 0xFFFF_FFFF
-HEALTH = 0x7F  # what this balancer says of its own health: the best
+BALANCER_HEALTH = 0x7F  # the best value, sent as this balancer's health
 
 
 class State(enum.Enum):
-    """Of the connection to the manager."""
+    """State of the connection to the manager."""
 
-    AWAY = "away"
+    DISCONNECTED = "disconnected"
     REGISTERING = "registering"
     REFUSED = "refused"
     FOLLOWING = "following"
 
 
 class PendingRequest(NamedTuple):
-    """A request without a reply yet, and by when it must come."""
+    """A request without a reply yet. deadline: when the reply counts as missing."""
 
     name: str
     deadline: int
 
 
 def weight_of(entry):
-    """An entry of the wire as a Weight."""
-    host, port = entry.member.place
+    """Converts a received entry to a Weight."""
+    host, port = entry.member.endpoint
     return Weight(
         host,
         port,
@@ -64,190 +64,195 @@
 class SaspBalancer:
     """handle(now, event) takes an event of protocol_events and returns actions and Updates.
 
-    Advice outlives a connection: a lost manager's last weights stand until others come. push: weights as they
-    change, else polls as often as the manager says. no_change: only changed weights are sent. trust: members
-    may register themselves. answers: each update is answered by a message of ours, which shows the manager
-    that we took it (an assigner's `takes = "answers"`). uniform: (low, high) -> float."""
+    The last advice stays in force when the connection is lost. push: weights are pushed on change, else
+    polled at the manager's interval. no_change: only changed weights are pushed. trust: members may
+    register themselves. answers: each pushed update is answered by a message, which confirms it to the
+    manager (an assigner's `takes = "answers"`). uniform: (low, high) -> random float."""
 
     def __init__(self, uid, groups, uniform, push=True, no_change=True, trust=False, answers=True):
         self.uid, self.uniform = uid.encode(), uniform
         self.push, self.no_change, self.trust, self.answers = push, no_change, trust, answers
-        self.groups = {name: {codec.member(x): x for x in members} for name, members in groups.items()}
-        self.quiesced = {}  # (group, key) -> True: by our own request
+        self.groups = {name: {codec.encode_member(x): x for x in members} for name, members in groups.items()}
+        self.quiesced = {}  # (group, key) -> True, for members quiesced at the user's request
         self.tables = {name: {} for name in groups}  # group -> key -> Weight
-        self.state, self.failures, self.refusals, self.serial, self.message_id = State.AWAY, 0, 0, 0, 0
+        self.state, self.failures, self.refusals, self.serial, self.message_id = (
+            State.DISCONNECTED,
+            0,
+            0,
+            0,
+            0,
+        )
         self.pending, self.interval, self.next_action_at = {}, SECOND, None  # pending: id -> PendingRequest
 
     def handle(self, now, event):
         """Handles one event; returns the actions."""
-        out = []
+        actions = []
         match event:
             case ConnectionOpened():
                 self.state, self.pending = State.REGISTERING, {}
-                self.send_state(now, out)
-                self.register(now, out)
+                self.send_lb_state(now, actions)
+                self.register(now, actions)
             case MessageReceived(message):
-                self.receive(now, message, out)
+                self.receive(now, message, actions)
             case ConnectionClosed():
-                self.state, self.pending = State.AWAY, {}
+                self.state, self.pending = State.DISCONNECTED, {}
                 wait = backoff(MIN_RECONNECT_WAIT, MAX_RECONNECT_WAIT, self.failures, self.uniform)
                 self.failures, self.next_action_at = self.failures + 1, now + wait
             case TimerExpired():
-                self.run_due(now, out)
+                self.run_due(now, actions)
             case ChangeMembers():
-                self.change_members(now, event, out)
+                self.change_members(now, event, actions)
         times = [request.deadline for request in self.pending.values()]
         times += [] if self.next_action_at is None else [self.next_action_at]
         if times:
-            out.append(SetTimer(min(times)))
-        return out
+            actions.append(SetTimer(min(times)))
+        return actions
 
-    def run_due(self, now, out):
-        """Gives the connection up if a reply is overdue, else does what is due in this state."""
+    def run_due(self, now, actions):
+        """Disconnects if a reply is overdue, else does what is due in this state."""
         if any(request.deadline <= now for request in self.pending.values()):
             self.pending = {}
-            out.append(Disconnect("no reply"))
+            actions.append(Disconnect("no reply"))
             return
         if self.next_action_at is None or now < self.next_action_at:
             return
         self.next_action_at = None
         match self.state:
-            case State.AWAY:
-                out.append(Connect())
+            case State.DISCONNECTED:
+                actions.append(Connect())
             case State.REFUSED:
                 self.state = State.REGISTERING
-                self.register(now, out)
+                self.register(now, actions)
             case State.FOLLOWING:
-                self.request_weights(now, out)
+                self.request_weights(now, actions)
 
     # Requests
 
-    def send(self, now, make, request, out):
-        """Sends a request and waits for its reply. make: id -> message."""
+    def send(self, now, make, request, actions):
+        """Sends a request and records it as pending. make: id -> message."""
         self.message_id = self.message_id % MAX_MESSAGE_ID + 1
         self.pending[self.message_id] = PendingRequest(request, now + REPLY_TIMEOUT)
-        out.append(SendBytes(codec.encode(make(self.message_id))))
+        actions.append(SendBytes(codec.encode(make(self.message_id))))
 
-    def send_state(self, now, out):
+    def send_lb_state(self, now, actions):
         """Tells the manager how this balancer wants to be served."""
         self.send(
             now,
-            lambda n: m.SetLbState(n, self.uid, HEALTH, self.push, self.trust, self.no_change),
+            lambda n: m.SetLbState(n, self.uid, BALANCER_HEALTH, self.push, self.trust, self.no_change),
             "state",
-            out,
+            actions,
         )
 
-    def register(self, now, out):
-        """Registers all groups."""
+    def register(self, now, actions):
         groups = tuple(
             (self.group_name(name), tuple(members.values()))
             for name, members in self.groups.items()
             if members
         )
         if groups:
-            self.send(now, lambda n: m.Register(n, True, groups), "register", out)
+            self.send(now, lambda n: m.Register(n, True, groups), "register", actions)
 
-    def request_weights(self, now, out):
-        """Asks for the weights of all groups."""
-        self.send(now, lambda n: m.GetWeights(n, ()), "weights", out)
+    def request_weights(self, now, actions):
+        """Requests the weights of all groups."""
+        self.send(now, lambda n: m.GetWeights(n, ()), "weights", actions)
 
     def group_name(self, name):
-        """A group's name on the wire."""
+        """Returns a group's name as sent to the manager."""
         return m.GroupName(self.uid, name.encode())
 
-    # Messages of the manager
+    # Messages from the manager
 
-    def receive(self, now, message, out):
-        """Handles a message of the manager."""
+    def receive(self, now, message, actions):
+        """Handles a message from the manager."""
         match message:
             case m.Weights() | m.Reply():
                 request = self.pending.pop(message.id, PendingRequest("", 0)).name
-                if message.code != Code.SUCCESS:
-                    self.handle_refusal(now, request, message.code, out)
+                if message.code != ResponseCode.SUCCESS:
+                    self.handle_refusal(now, request, message.code, actions)
                 elif isinstance(message, m.Weights):
-                    self.take_poll(now, message, out)
+                    self.handle_weights_reply(now, message, actions)
                 elif request == "register":
                     self.state, self.failures, self.refusals = State.FOLLOWING, 0, 0
-                    self.send_quiesced(now, out)
-                    self.request_weights(now, out)
+                    self.send_member_states(now, actions)
+                    self.request_weights(now, actions)
             case m.SendWeights():
-                self.take_weights(now, message.groups, out)
+                self.apply_weights(now, message.groups, actions)
                 if self.answers:
-                    self.send_state(now, out)
+                    self.send_lb_state(now, actions)
             case _:
-                out.append(Disconnect("unreadable"))
+                actions.append(Disconnect("unreadable"))
 
-    def handle_refusal(self, now, request, code, out):
-        """A request was refused; registering is tried again later."""
-        out.append(RequestRefused(request, code))
+    def handle_refusal(self, now, request, code, actions):
+        """Reports a refused request; after a refused registration or poll, registers again with backoff."""
+        actions.append(RequestRefused(request, code))
         if request in ("register", "weights"):
             wait = backoff(MIN_REFUSAL_WAIT, MAX_REFUSAL_WAIT, self.refusals, self.uniform)
             self.state, self.refusals, self.next_action_at = State.REFUSED, self.refusals + 1, now + wait
 
-    def take_poll(self, now, message, out):
-        """The answer to a poll; polls again where weights are not pushed, or some group has none yet."""
+    def handle_weights_reply(self, now, message, actions):
+        """Applies the reply to a poll; polls again if weights are not pushed, or some group has none yet."""
         self.interval = max(message.interval, 1) * SECOND
-        self.take_weights(now, message.groups, out)
+        self.apply_weights(now, message.groups, actions)
         complete = all(self.tables[name] for name, members in self.groups.items() if members)
         if not self.push or not complete:
             self.next_action_at = now + self.interval
 
-    def take_weights(self, now, groups, out):
-        """Weights of groups; those of unknown groups and members are ignored."""
+    def apply_weights(self, now, groups, actions):
+        """Applies weights of groups; unknown groups and members are ignored."""
         for name, entries in groups:
             group = name.name.decode("utf-8", "replace")
             if name.uid != self.uid or group not in self.groups:
                 continue
             weights = {}
             for entry in entries:
-                key = codec.member(entry.member)
+                key = codec.encode_member(entry.member)
                 if key in self.groups[group]:
                     weights[key] = weight_of(entry)
             self.tables[group] |= weights
             self.serial += 1
-            out.append(Update(group, tuple(self.tables[group].values()), self.serial, now))
+            actions.append(Update(group, tuple(self.tables[group].values()), self.serial, now))
 
     # The user's changes
 
-    def change_members(self, now, event, out):
-        """Carries out a ChangeMembers, at once while following, else at the next registration."""
+    def change_members(self, now, event, actions):
+        """Executes a ChangeMembers: at once while registered, else with the next registration."""
         members = self.groups.setdefault(event.group, {})
         self.tables.setdefault(event.group, {})
-        changed = {codec.member(data): data for data in event.members}
+        changed = {codec.encode_member(data): data for data in event.members}
         match event.change:
             case Change.ADD:
-                self.add_members(now, event.group, members, changed, out)
+                self.add_members(now, event.group, members, changed, actions)
             case Change.REMOVE:
-                self.remove_members(now, event.group, members, changed, out)
+                self.remove_members(now, event.group, members, changed, actions)
             case Change.QUIESCE | Change.OPEN:
                 for key in changed:
                     self.quiesced.pop((event.group, key), None)
                     if event.change is Change.QUIESCE:
                         self.quiesced[event.group, key] = True
                 if self.state is State.FOLLOWING:
-                    self.send_quiesced(now, out, {(event.group, key): True for key in changed})
+                    self.send_member_states(now, actions, {(event.group, key): True for key in changed})
 
-    def add_members(self, now, group, members, added, out):
+    def add_members(self, now, group, members, added, actions):
         """Adds members (key -> MemberData) to a group."""
-        new = tuple(data for key, data in added.items() if key not in members)
+        new_members = tuple(data for key, data in added.items() if key not in members)
         members |= added
-        if self.state is State.FOLLOWING and new:
+        if self.state is State.FOLLOWING and new_members:
             name = self.group_name(group)
-            self.send(now, lambda n: m.Register(n, True, ((name, new),)), "add", out)
+            self.send(now, lambda n: m.Register(n, True, ((name, new_members),)), "add", actions)
 
-    def remove_members(self, now, group, members, removed, out):
+    def remove_members(self, now, group, members, removed, actions):
         """Removes members (key -> MemberData) from a group."""
-        gone = tuple(data for key, data in removed.items() if key in members)
+        removed_members = tuple(data for key, data in removed.items() if key in members)
         for key in removed:
             members.pop(key, None)
             self.tables[group].pop(key, None)
             self.quiesced.pop((group, key), None)
-        if self.state is State.FOLLOWING and gone:
+        if self.state is State.FOLLOWING and removed_members:
             name = self.group_name(group)
-            self.send(now, lambda n: m.Deregister(n, True, 1, ((name, gone),)), "drop", out)
+            self.send(now, lambda n: m.Deregister(n, True, 1, ((name, removed_members),)), "drop", actions)
 
-    def send_quiesced(self, now, out, changed=None):
-        """Tells which members we hold quiesced; all of them after a registration."""
+    def send_member_states(self, now, actions, changed=None):
+        """Sends which members are quiesced: the changed ones, or all after a registration."""
         groups = {}
         for group, key in changed or self.quiesced:
             if key in self.groups[group]:
@@ -255,4 +260,4 @@
                 groups.setdefault(group, []).append(state)
         states = tuple((self.group_name(name), tuple(entries)) for name, entries in groups.items())
         if states:
-            self.send(now, lambda n: m.SetMemberState(n, True, states), "quiesce", out)
+            self.send(now, lambda n: m.SetMemberState(n, True, states), "quiesce", actions)
--- a/garnetpaddle/dfp/session.py
+++ b/garnetpaddle/dfp/session.py
@@ -1,105 +1,112 @@
-"""One connection of a DFP manager: its group's advice, its drains, its keep-alive. No I/O."""
+"""One connection of a DFP manager: its group's advice, drains and keep-alives. No I/O."""
 
 import ipaddress
 
 from garnetpaddle.advice import Member
-from garnetpaddle.advice.access import refusal
+from garnetpaddle.advice.access import refusal_reason
 from garnetpaddle.advice.session import FIRST_MESSAGE_TIMEOUT, AdviceSession, FollowedGroup
 from garnetpaddle.advice.session_events import NotifySession, WriteBytes, log_line
 from garnetpaddle.dfp import codec
 
-SECOND = 10_000
-KEEP_ALIVES_PER_PERIOD = 2  # one is sent when half of the manager's time has gone by
+SECOND = 10_000  # tenths of a ms
+KEEP_ALIVES_PER_PERIOD = 2  # a keep-alive is sent after half of the time that the manager allows
 LEASE_RETRY_PERIOD = SECOND // 2
 
 
 class Session(AdviceSession):
-    """configured_follower, group_name: the operator's, since this wire names neither; keep_alive: tenths of a
-    ms, None for none. The one group's members are all tasks that the draft can name."""
+    """configured_follower, group_name: from the operator's configuration, since the protocol carries neither;
+    keep_alive: tenths of a ms, or None. The group's members are all tasks that have an IPv4 address."""
 
-    def __init__(self, registry, connection, pace, configured_follower, group_name, keep_alive, key, now):
-        super().__init__(registry, connection, pace, now)
+    def __init__(
+        self, registry, connection, min_update_interval, configured_follower, group_name, keep_alive, key, now
+    ):
+        super().__init__(registry, connection, min_update_interval, now)
         self.configured_follower, self.group_name = configured_follower, group_name
         self.keep_alive, self.key = keep_alive, key
-        self.pushes, self.logged_refusal, self.greeted, self.last_write = True, None, False, now
+        self.push_enabled, self.logged_refusal, self.initial_message_sent, self.last_write_at = (
+            True,
+            None,
+            False,
+            now,
+        )
 
-    def handle_message(self, now, message, out):
+    def handle_message(self, now, message, actions):
         """Handles one message of the manager."""
         match message:
-            case codec.InvalidMessage(why, over):
-                out.append(log_line("message_unreadable", why=why))
-                if over:
-                    self.close(now, "unreadable, or its security is wrong", out)
+            case codec.InvalidMessage(why, fatal):
+                actions.append(log_line("message_unreadable", why=why))
+                if fatal:
+                    self.close(now, "unreadable, or its security is wrong", actions)
             case codec.Parameters(keep_alive) if keep_alive is not None:
-                # 0 turns it off; a very short one would be a flood of our own making.
+                # 0 turns it off; the minimum keeps a short interval from flooding the manager.
                 self.keep_alive = max(keep_alive * SECOND, SECOND) if keep_alive else None
             case codec.BindIdRequest():
-                self.write(codec.encode(codec.BindIdReport(), self.key), out)
+                self.write(codec.encode(codec.BindIdReport(), self.key), actions)
             case codec.ServerState(loads):
                 held_out = sum(host.weight == 0 for load in loads for host in load.hosts)
                 name = self.configured_follower.name
-                out.append(log_line("manager_state", follower=name, held_out=held_out))
+                actions.append(log_line("manager_state", follower=name, held_out=held_out))
 
-    def check(self, now, out):
-        """Acquires the lease when it can, then checks and sends as every session does."""
+    def check(self, now, actions):
+        """Acquires the lease when possible, then checks and sends as every session does."""
         if self.follower is None and not self.closed:
-            self.begin(now, out)
+            self.try_acquire_lease(now, actions)
         if self.follower is None and not self.closed:
-            # It waits for its lease beyond the time of unknown peers: the port itself says who it is.
+            # It may wait for its lease without a time limit, because the port identifies the follower.
             self.deadline = now + FIRST_MESSAGE_TIMEOUT
         if not self.closed:
             self.update_members(self.registry.snapshot)
-        super().check(now, out)
-        if any(isinstance(action, WriteBytes) for action in out):
-            self.last_write = now
-        if self.follower and self.keep_alive and now >= self.next_keep_alive():
-            # Nothing has changed: an empty message says that we are alive, and names nobody.
-            self.write(codec.encode(codec.Preference(), self.key), out)
-            self.last_write = now
+        super().check(now, actions)
+        if any(isinstance(action, WriteBytes) for action in actions):
+            self.last_write_at = now
+        if self.follower and self.keep_alive and now >= self.next_keep_alive_at():
+            # Nothing has changed: an empty message serves as keep-alive.
+            self.write(codec.encode(codec.Preference(), self.key), actions)
+            self.last_write_at = now
 
-    def next_keep_alive(self):
-        """When the manager must have been written to."""
-        return self.last_write + self.keep_alive // KEEP_ALIVES_PER_PERIOD
+    def next_keep_alive_at(self):
+        """Returns by when the manager must be sent something."""
+        return self.last_write_at + self.keep_alive // KEEP_ALIVES_PER_PERIOD
 
-    def begin(self, now, out):
-        """Acquires the lease as soon as it may."""
-        if not self.greeted:
-            self.greeted = True
-            self.write(codec.encode(codec.Preference(), self.key), out)
+    def try_acquire_lease(self, now, actions):
+        """Acquires the lease if the follower is allowed to."""
+        if not self.initial_message_sent:
+            self.initial_message_sent = True
+            self.write(codec.encode(codec.Preference(), self.key), actions)
         follower, route = self.configured_follower, self.registry.groups[self.group_name]
         level = self.registry.level(follower.name, route)
-        why = refusal(route.effect, follower.retries, level, standing=False)
+        why = refusal_reason(route.effect, follower.retries, level, already_granted=False)
         if why:
-            out.append(log_line("follower_refused", warning=True, follower=follower.name, why=why))
-            return self.close(now, why, out)
-        why = self.registry.leases.refusal(now, follower.name, self.connection, self.acked > 0)
+            actions.append(log_line("follower_refused", warning=True, follower=follower.name, why=why))
+            return self.close(now, why, actions)
+        why = self.registry.leases.refusal_reason(now, follower.name, self.connection, self.acked > 0)
         if why:
             if why != self.logged_refusal:
-                out.append(log_line("follower_refused", warning=True, follower=follower.name, why=why))
+                actions.append(log_line("follower_refused", warning=True, follower=follower.name, why=why))
             self.logged_refusal = why
             return None
-        former = self.acquire_lease(now, follower, out)
-        if former is not None:
-            out.append(NotifySession(former))
+        previous = self.acquire_lease(now, follower, actions)
+        if previous is not None:
+            actions.append(NotifySession(previous))
         self.groups = {self.group_name: FollowedGroup(route)}
         return None
 
     def update_members(self, snapshot):
-        """The members are the tasks of the list at IPv4 addresses."""
+        """Sets the members to the listed tasks at IPv4 addresses."""
         group = self.groups.get(self.group_name)
         if group is None or group.version == snapshot.generation:
             return
         members = {}
-        for task, known in snapshot.tasks.items():
-            if known.address is None:
+        for task, record in snapshot.tasks.items():
+            if record.address is None:
                 continue
             try:
-                key = ipaddress.IPv4Address(known.address[0]).packed, known.address[1]
+                key = ipaddress.IPv4Address(record.address[0]).packed, record.address[1]
             except ValueError:
                 continue
-            if key not in members or not known.closed():
-                members[key] = Member(key, known.address, task)
-        # A task that the list has forgotten stays until the manager has been sent its weight 0.
+            if key not in members or not record.closed():
+                members[key] = Member(key, record.address, task)
+        # A task that is no longer known stays until the manager has been sent weight 0 for it.
         last_sent = self.delivery.last_sent.get(self.group_name, {})
         for key, member in group.members.items():
             if key not in members and key in last_sent and last_sent[key].weight:
@@ -109,7 +116,7 @@
         group.members, group.version = members, snapshot.generation
 
     def encode_update(self, table, wanted, changed):
-        """A Preference message with all members."""
+        """Returns a Preference message with all members."""
         ports = {}
         for key, weight in wanted[self.group_name].items():
             ports.setdefault(key[1], []).append(codec.Host(key[0], weight.weight))
@@ -117,7 +124,7 @@
         return codec.encode(codec.Preference(loads), self.key)
 
     def extra_timers(self, now):
-        """The next attempt to acquire the lease, or the next keep-alive."""
+        """Returns the time of the next attempt to acquire the lease, or of the next keep-alive."""
         if self.follower is None:
             return (now + LEASE_RETRY_PERIOD,)
-        return (self.next_keep_alive(),) if self.keep_alive else ()
+        return (self.next_keep_alive_at(),) if self.keep_alive else ()
