--- a/garnetpaddle/commands/advice.py
+++ b/garnetpaddle/commands/advice.py
@@ -1,4 +1,4 @@
-"""`advice watch`: what a follower is told, live, as a table or as JSON lines."""
+"""`advice watch`: shows the weights that a follower receives, live, as a table or as JSON lines."""
 
 import asyncio
 import json
@@ -12,57 +12,59 @@
 
 
 class UsageError(click.ClickException):
-    """The command was called wrongly."""
+    """Invalid usage of the command."""
 
     exit_code = 2
 
 
-def address(text, what):
-    """(host, port); raises UsageError."""
+def parse_address(text, option):
+    """Parses host:port to (host, port); raises UsageError, which names the option."""
     host, _, port = text.rpartition(":")
     if not host or not port.isdigit() or int(port) > MAX_PORT:
-        raise UsageError(f"{what}: {text!r} is no host:port")
+        raise UsageError(f"{option}: {text!r} is not a host:port address")
     return host.strip("[]"), int(port)
 
 
-async def listed_addresses(at):
-    """(host, port) of every task in the list of discovery at an address; raises UsageError."""
+async def listed_addresses(agent):
+    """Asks a discovery agent for its task list; returns (host, port) of each task. Raises UsageError."""
     import msgspec
 
     from garnetpaddle.net import http
     from garnetpaddle.net.task_list_codec import TaskList
     from garnetpaddle.net.task_list_watch import PATH, TaskAddresses
 
-    link = await http.connect(at, DISCOVERY_TIMEOUT)
-    if isinstance(link, http.NotSent):
-        raise UsageError(f"the list at {at[0]}:{at[1]}: {link.why}")
-    answer = await link.call("GET", PATH, DISCOVERY_TIMEOUT)
-    link.close()
-    if not isinstance(answer, http.Response) or answer.status != 200:
-        raise UsageError(f"the list at {at[0]}:{at[1]}: {getattr(answer, 'why', None) or answer.status}")
+    connection = await http.connect(agent, DISCOVERY_TIMEOUT)
+    if isinstance(connection, http.NotSent):
+        raise UsageError(f"task list of {agent[0]}:{agent[1]}: {connection.why}")
+    response = await connection.call("GET", PATH, DISCOVERY_TIMEOUT)
+    connection.close()
+    if not isinstance(response, http.Response) or response.status != 200:
+        raise UsageError(
+            f"task list of {agent[0]}:{agent[1]}: {getattr(response, 'why', None) or response.status}"
+        )
     addresses = TaskAddresses()
     try:
-        addresses.update(msgspec.json.decode(answer.body, type=TaskList))
+        addresses.update(msgspec.json.decode(response.body, type=TaskList))
     except msgspec.DecodeError as error:
-        raise UsageError(f"the list at {at[0]}:{at[1]}: {error}") from None
+        raise UsageError(f"task list of {agent[0]}:{agent[1]}: {error}") from None
     return list(addresses.by_task.values())
 
 
 def flags(weight):
-    """A weight's flags in words."""
+    """The flags of a weight, as text."""
     return " ".join(
-        word
-        for word, on in (
+        flag
+        for flag, is_set in (
             ("quiesced", weight.quiesced),
             ("no contact", not weight.contact),
             ("unsure", not weight.confident),
         )
-        if on
+        if is_set
     )
 
 
 def update_as_dict(update):
-    """An update as JSON: its group, serial, and each member's weight, part and flags."""
+    """An update as JSON-compatible values. part: a member's fraction of all weights."""
     total = sum(w.weight for w in update.weights) or 1
     return {
         "group": update.group,
@@ -82,85 +84,87 @@
     }
 
 
-def table(update, since, log):
-    """An update as a table."""
+def render_table(update, received_at, log):
+    """An update as a table, with the last line of the client's log."""
     from rich.table import Table
 
-    age = time.monotonic() - since
+    age = time.monotonic() - received_at
     total = sum(w.weight for w in update.weights) or 1
-    shown = Table(
+    rendered = Table(
         title=f"{update.group or 'advice'}, update {update.serial}, {age:.1f} s old",
         caption=log[-1] if log else "",
     )
-    for heading, side in (("member", "left"), ("weight", "right"), ("part", "right"), ("flags", "left")):
-        shown.add_column(heading, justify=side)
+    for heading, alignment in (("member", "left"), ("weight", "right"), ("part", "right"), ("flags", "left")):
+        rendered.add_column(heading, justify=alignment)
     for w in sorted(update.weights, key=lambda w: (-w.weight, w.host, w.port)):
-        shown.add_row(f"{w.host}:{w.port}", str(w.weight), f"{w.weight / total:.2%}", flags(w))
-    return shown
+        rendered.add_row(f"{w.host}:{w.port}", str(w.weight), f"{w.weight / total:.2%}", flags(w))
+    return rendered
 
 
 async def follow(client, as_json, count):
-    """Shows updates until there were `count` of them; 0: for ever."""
-    seen = 0
+    """Shows `count` updates, or without end if it is 0."""
+    count_shown = 0
     if as_json:
         async for update in client.updates():
             click.echo(json.dumps(update_as_dict(update)))
-            seen += 1
-            if count and seen >= count:
+            count_shown += 1
+            if count and count_shown >= count:
                 return 0
     from rich.live import Live
 
-    newest, since = None, time.monotonic()
+    latest, received_at = None, time.monotonic()
     updates = client.updates()
     with Live(refresh_per_second=2) as live:
-        coming = asyncio.ensure_future(anext(updates))
-        while not count or seen < count:
-            await asyncio.wait({coming}, timeout=0.5)
-            if coming.done():
-                newest, since, seen = coming.result(), time.monotonic(), seen + 1
-                coming = asyncio.ensure_future(anext(updates))
-            if newest:
-                live.update(table(newest, since, client.log))
+        next_update = asyncio.ensure_future(anext(updates))
+        while not count or count_shown < count:
+            await asyncio.wait({next_update}, timeout=0.5)
+            if next_update.done():
+                latest, received_at, count_shown = next_update.result(), time.monotonic(), count_shown + 1
+                next_update = asyncio.ensure_future(anext(updates))
+            if latest:
+                live.update(render_table(latest, received_at, client.log))
             elif client.log:
-                live.update(f"nothing told yet: {client.log[-1]}")
-        coming.cancel()
+                live.update(f"no update received yet: {client.log[-1]}")
+        next_update.cancel()
     return 0
 
 
 @click.group()
 def advice():
-    """Weight advice as outside balancers hear it."""
+    """Weight advice as external load balancers receive it."""
 
 
 @advice.command()
 @click.argument("server", metavar="HOST:PORT")
-@click.option("--group", default="", help="The group's name; needed over SASP.")
+@click.option("--group", default="", help="The group's name; required over SASP.")
 @click.option(
     "--uid",
     default="watch",
     show_default=True,
-    help="The LB UID to follow as: a follower of its own in the operator's file, else the balancer "
-    "that has it loses its seat when it is silent.",
+    help="The LB UID to register with. Give it a follower of its own in the operator's file: a balancer "
+    "with the same UID loses its registration when it is silent.",
+)
+@click.option("--member", "members", multiple=True, metavar="HOST:PORT", help="A member; can be repeated.")
+@click.option(
+    "--discovery", metavar="HOST:PORT", help="Take the members from the task list of this discovery agent."
 )
-@click.option("--member", "members", multiple=True, metavar="HOST:PORT", help="A member; may be given often.")
-@click.option("--discovery", metavar="HOST:PORT", help="Take the members from this agent's list.")
-@click.option("--dfp", is_flag=True, help="Over DFP: the port names the group, the agent the members.")
-@click.option("--pull", is_flag=True, help="Poll instead of being pushed to.")
-@click.option("--json", "as_json", is_flag=True, help="One line of JSON an update instead of a table.")
-@click.option("--count", type=click.IntRange(0), default=0, help="End after so many updates; 0: never.")
+@click.option("--dfp", is_flag=True, help="Use DFP: the port implies the group, the agent names the members.")
+@click.option("--pull", is_flag=True, help="Poll instead of receiving pushed updates.")
+@click.option("--json", "as_json", is_flag=True, help="Print one line of JSON per update instead of a table.")
+@click.option("--count", type=click.IntRange(0), default=0, help="Exit after this many updates; 0: never.")
 def watch(server, group, uid, members, discovery, dfp, pull, as_json, count):
     """Show weights, flags and age of the advice at HOST:PORT until Ctrl-C."""
     from garnetpaddle.client import DfpClient, SaspClient
 
     async def run():
-        at, uniform = address(server, "HOST:PORT"), random.Random().uniform
+        at, uniform = parse_address(server, "HOST:PORT"), random.Random().uniform
         if dfp:
             client = DfpClient(at, group, uniform=uniform)
         else:
-            places = [address(x, "--member") for x in members]
-            places += await listed_addresses(address(discovery, "--discovery")) if discovery else []
+            places = [parse_address(x, "--member") for x in members]
+            places += await listed_addresses(parse_address(discovery, "--discovery")) if discovery else []
             if not group or not places:
-                raise UsageError("SASP needs --group, and --member or --discovery")
+                raise UsageError("SASP requires --group, and --member or --discovery")
             try:
                 client = SaspClient(at, uid, {group: places}, uniform=uniform, push=not pull, no_change=False)
             except ValueError as error:
--- a/garnetpaddle/commands/line.py
+++ b/garnetpaddle/commands/line.py
@@ -1,4 +1,4 @@
-"""The commands on click. What they do stands in modules of its own, imported when they run."""
+"""The command line on click. Each command imports its implementation only when it runs."""
 
 import os
 
@@ -12,7 +12,7 @@
     "--operator",
     metavar="FILE",
     envvar="GARNET_OPERATOR",
-    help="The operator's own file, in HCL: further fronts. GARNET_OPERATOR where left out; none without it.",
+    help="The operator's own file, in HCL, for further front ends. Default: GARNET_OPERATOR, else none.",
 )
 
 
@@ -22,10 +22,10 @@
 
 
 @commands.command(
-    epilog="It is configured by ROUTER_CONFIG (the path of a JSON file); ROUTER_NAME, ROUTER_LISTEN and "
-    "ROUTER_DISCOVERY must agree with it where they are set."
+    epilog="ROUTER_CONFIG is the path of its configuration, a JSON file; ROUTER_NAME, ROUTER_LISTEN and "
+    "ROUTER_DISCOVERY must agree with it if they are set."
 )
-@click.option("--trace", is_flag=True, help="Print every event and order, for short looks.")
+@click.option("--trace", is_flag=True, help="Print every event and order, for debugging.")
 @OPERATOR
 @click.pass_context
 def serve(context, trace, operator):
@@ -39,16 +39,19 @@
 @click.argument("file", required=False)
 @OPERATOR
 def check(file, operator):
-    """Read a configuration as serve would, start nothing; exit 0, or 2 naming the field.
+    """Validate a configuration without starting anything; exit 0, or 2 and name the field.
 
-    FILE is the JSON file; ROUTER_CONFIG where left out."""
+    FILE is the JSON file; default: ROUTER_CONFIG."""
     from garnetpaddle.commands.serve import read_files
 
     files = read_files(file or os.environ.get("ROUTER_CONFIG"), operator, os.environ)
     if isinstance(files, int):
         return files
-    given, plan, path = files
-    print(f"{path}: fine; {given.name} listens at {given.listen}, knows {len(given.known.instances)} tasks")
+    platform, plan, path = files
+    print(
+        f"{path}: fine; {platform.name} listens at {platform.listen}, "
+        f"knows {len(platform.known.instances)} tasks"
+    )
     if plan:
         fronts = ", ".join(f"{front.name} at {front.listen}" for front in (*plan.sasp, *plan.dfp)) or "none"
         print(f"{operator}: fine; followers {len(plan.followers)}, groups {len(plan.groups)}; {fronts}")
@@ -67,14 +70,14 @@
 
 
 def main(arguments, startup_signals=None):
-    """Runs a command; returns its exit code. startup_signals: what `serve` hands to its event loop."""
+    """Runs a command; returns its exit code. startup_signals: passed by `serve` to its event loop."""
     try:
         code = commands.main(
             list(arguments), prog_name="garnetpaddle", standalone_mode=False, obj=startup_signals
         )
         return code or 0
-    except click.exceptions.Exit as stop:
-        return stop.exit_code
+    except click.exceptions.Exit as exit_request:
+        return exit_request.exit_code
     except click.ClickException as error:
         error.show()
         return error.exit_code
--- a/garnetpaddle/commands/rehearse.py
+++ b/garnetpaddle/commands/rehearse.py
@@ -1,4 +1,4 @@
-"""`rehearse`: simulations from scripts, of the Brain and its baselines, on a virtual clock."""
+"""`rehearse`: runs, compares and plots simulations from scripts, of the Brain and of baseline policies."""
 
 import concurrent.futures
 import json
@@ -9,20 +9,21 @@
 
 
 def read_script(path):
-    """The Script at a path; prints its faults and exits with 2."""
-    from garnetpaddle.operator import Faulty
+    """Reads a Script; if it is invalid, prints its diagnostics and exits with 2."""
+    from garnetpaddle.operator import InvalidFile
     from garnetpaddle.rehearsal import read
 
     try:
         return read(path)
-    except Faulty as error:
-        for fault in error.faults:
-            click.echo(f"garnetpaddle: {fault}", err=True)
+    except InvalidFile as error:
+        for diagnostic in error.diagnostics:
+            click.echo(f"garnetpaddle: {diagnostic}", err=True)
         raise click.exceptions.Exit(2) from None
 
 
 def simulate(path, seed, policy, log=None):
-    """One simulation, in a process of its own: its figures and its JSON. log: where its event log goes."""
+    """Runs one simulation in a worker process; returns its result as a dict and as JSON. log: path for its
+    event log."""
     from garnetpaddle.rehearsal import Simulation, read
     from garnetpaddle.rehearsal.events import Writer
 
@@ -37,7 +38,7 @@
 
 @click.group()
 def rehearse():
-    """Incidents from scripts, the same way every time."""
+    """Simulate incidents from scripts, deterministically."""
 
 
 @rehearse.command("list")
@@ -53,12 +54,12 @@
 @rehearse.command()
 @click.argument("scripts", nargs=-1, required=True)
 def check(scripts):
-    """Read scripts and say what is wrong with them; exit 2 if anything is."""
+    """Validate scripts; exit 2 if one is invalid."""
     for path in scripts:
         script = read_script(path)
         proxies = sum(zone.proxies for zone in script.zones)
         click.echo(
-            f"{path}: fine; {len(script.names())} nodes, {proxies} proxies, "
+            f"{path}: fine; {len(script.node_names())} nodes, {proxies} proxies, "
             f"{len(script.troubles)} troubles in {script.rehearsal.length:g} s"
         )
     return 0
@@ -71,21 +72,29 @@
     default=1,
     show_default=True,
     type=click.IntRange(1),
-    help="So many days, from the script's seed on.",
+    help="Number of simulations, with consecutive seeds from the script's on.",
 )
 @click.option(
     "--policy",
     "policies",
     multiple=True,
     type=click.Choice(["brain", "even", "least"]),
-    help="May be given often; all three where left out.",
+    help="Can be repeated; default: all three.",
 )
-@click.option("--jobs", default=1, show_default=True, type=click.IntRange(1), help="Days played at once.")
-@click.option("--out", type=click.Path(file_okay=False), help="Write each day's result and log there.")
-@click.option("--events", is_flag=True, help="With --out: each day's event log as well (zstd).")
-@click.option("--json", "as_json", is_flag=True, help="Figures as lines of JSON.")
+@click.option(
+    "--jobs", default=1, show_default=True, type=click.IntRange(1), help="Simulations to run in parallel."
+)
+@click.option(
+    "--out", type=click.Path(file_okay=False), help="Folder for the result and log of each simulation."
+)
+@click.option(
+    "--events",
+    is_flag=True,
+    help="With --out: also write the event log of each simulation of the Brain (zstd).",
+)
+@click.option("--json", "as_json", is_flag=True, help="Print the figures as lines of JSON.")
 def run(script, seeds, policies, jobs, out, events, as_json):
-    """Play a script; exit 1 where a rule was broken."""
+    """Run a script; exit 1 if a rule was violated."""
     first = read_script(script).rehearsal.seed
     runs = [
         (seed, policy)
@@ -101,11 +110,14 @@
             wanted = events and folder and policy == "brain"
             return str(folder / f"{pathlib.Path(script).stem}-{policy}-{seed}.events.zst") if wanted else None
 
-        submitted = [(day, pool.submit(simulate, script, *day, log(*day))) for day in runs]
-        for (seed, policy), future in with_progress(submitted):
+        futures = [
+            (seed_and_policy, pool.submit(simulate, script, *seed_and_policy, log(*seed_and_policy)))
+            for seed_and_policy in runs
+        ]
+        for (seed, policy), future in with_progress_bar(futures):
             result, data = future.result()
             broken += bool(result["broken"])
-            if folder:  # written as each day ends, so that an interrupted run leaves what it has
+            if folder:  # written as each simulation ends, so that an interrupted run keeps the finished ones
                 write_atomically(folder / f"{pathlib.Path(script).stem}-{policy}-{seed}.json", data)
             figures = {k: result[k] for k in ("policy", "seed", "service", "worst_window", "worst_route")}
             figures |= {
@@ -121,51 +133,55 @@
 @click.argument("b")
 @click.option("--seeds", default=8, show_default=True, type=click.IntRange(2))
 @click.option("--policy", default="brain", type=click.Choice(["brain", "even", "least"]), show_default=True)
-@click.option("--against", type=click.Choice(["brain", "even", "least"]), help="B's policy, if another.")
-@click.option("--jobs", default=1, show_default=True, type=click.IntRange(1), help="Days played at once.")
+@click.option("--against", type=click.Choice(["brain", "even", "least"]), help="B's policy, if different.")
+@click.option(
+    "--jobs", default=1, show_default=True, type=click.IntRange(1), help="Simulations to run in parallel."
+)
 def compare(a, b, seeds, policy, against, jobs):
-    """Play two scripts over the same seeds: how B differs from A, and whether that is more than chance."""
+    """Run two scripts with the same seeds; print how B differs from A, and whether beyond chance."""
     first = read_script(a).rehearsal.seed
     read_script(b)
     from garnetpaddle.rehearsal.compare import differences, first_divergence
 
     runs = [
-        (path, seed, of)
+        (path, seed, side_policy)
         for seed in range(first, first + seeds)
-        for path, of in ((a, policy), (b, against or policy))
+        for path, side_policy in ((a, policy), (b, against or policy))
     ]
     with concurrent.futures.ProcessPoolExecutor(min(jobs, len(runs), os.cpu_count() or 1)) as pool:
         results = [result for result, _ in pool.map(simulate, *zip(*runs, strict=True))]
-    sides = (
+    results_by_side = (
         {result["seed"]: result for result in results[0::2]},
         {result["seed"]: result for result in results[1::2]},
     )
-    for d in differences(*sides):
+    for d in differences(*results_by_side):
         click.echo(
             f"{d.figure:13} {d.a:.4f} -> {d.b:.4f}: {d.mean:+.4f} ({d.low:+.4f} to {d.high:+.4f}), "
             f"{d.verdict()}"
         )
-    for name, side in (("A", sides[0]), ("B", sides[1])):
-        broken = sum(bool(day["broken"]) for day in side.values())
-        click.echo(f"{name}: rules broken on {broken} of {seeds} days")
-    part = first_divergence(sides[0][first], sides[1][first])
-    click.echo(f"seed {first}: " + (f"the days part at {part[0]:g} s" if part else "the days are the same"))
+    for name, results_by_seed in (("A", results_by_side[0]), ("B", results_by_side[1])):
+        broken = sum(bool(figures["broken"]) for figures in results_by_seed.values())
+        click.echo(f"{name}: rules violated in {broken} of {seeds} simulations")
+    divergence = first_divergence(results_by_side[0][first], results_by_side[1][first])
+    click.echo(
+        f"seed {first}: " + (f"first difference at {divergence[0]:g} s" if divergence else "no difference")
+    )
     return 0
 
 
 @rehearse.command()
 @click.argument("file", type=click.Path(exists=True, dir_okay=False))
-@click.option("--from", "start", default=0.0, help="s")
-@click.option("--to", "end", default=1e9, help="s")
+@click.option("--from", "start", default=0.0, help="Start, in s.")
+@click.option("--to", "end", default=1e9, help="End, in s.")
 def log(file, start, end):
-    """Print an event log: what the Brain heard (<) and ordered (>), with its time in seconds."""
+    """Print an event log: the Brain's events (<) and orders (>), with their time in seconds."""
     from garnetpaddle.rehearsal.events import read
 
-    for now, heard, ordered in read(file):
+    for now, event_texts, order_texts in read(file):
         if start <= now / 10_000 <= end:
-            for mark, words in (("<", heard), (">", ordered)):
-                for word in words:
-                    click.echo(f"{now / 10_000:9.3f} {mark} {word}")
+            for mark, texts in (("<", event_texts), (">", order_texts)):
+                for text in texts:
+                    click.echo(f"{now / 10_000:9.3f} {mark} {text}")
     return 0
 
 
@@ -173,7 +189,7 @@
 @click.argument("results", nargs=-1, required=True, type=click.Path(exists=True, dir_okay=False))
 @click.option("--to", default="rehearsal.png", show_default=True, type=click.Path(dir_okay=False))
 def plot(results, to):
-    """Draw results that `run --out` has written: the first one in detail, the service of all."""
+    """Plot results written by `run --out`: the service of all, the nodes of the first one."""
     from garnetpaddle.rehearsal.plots import plot
 
     plot([json.loads(pathlib.Path(path).read_bytes()) for path in results], to)
@@ -181,24 +197,24 @@
     return 0
 
 
-def with_progress(runs):
-    """The items in turn, with a progress bar on a terminal."""
+def with_progress_bar(runs):
+    """Iterates over the items, with a progress bar if standard error is a terminal."""
     from rich.console import Console
     from rich.progress import track
 
     console = Console(stderr=True)
-    return track(runs, "playing", console=console, transient=True, disable=not console.is_terminal)
+    return track(runs, "simulating", console=console, transient=True, disable=not console.is_terminal)
 
 
 def write_atomically(path, data):
-    """Writes a file whole or not at all: an interrupted run leaves no partial one."""
-    whole = path.with_suffix(".part")
-    whole.write_bytes(data)
-    whole.replace(path)
+    """Writes a file atomically, so that an interrupted run leaves no partial one."""
+    partial = path.with_suffix(".part")
+    partial.write_bytes(data)
+    partial.replace(path)
 
 
 def format_figures(figures):
-    """A result's figures in a line."""
+    """A result's figures as a line of text."""
     return (
         f"{figures['policy']:6} seed {figures['seed']}: service {figures['service']:.4f}, worst 10 s "
         f"{figures['worst_window']:.4f}, worst route {figures['worst_route']:.4f}, 99th "
--- a/garnetpaddle/operator/__init__.py
+++ b/garnetpaddle/operator/__init__.py
@@ -1,10 +1,10 @@
 """The operator's own configuration file, in HCL: front ends, groups, followers, limits.
 
-Every fault names file, line, field and what would be right. Nothing here is imported where no file is given.
-read(path) returns an OperatorConfiguration or raises Faulty; fits(configuration, platform) checks it against
-the platform's configuration."""
+Each diagnostic names file, line, field and what is expected. The package is imported only if a file is given.
+read(path) returns an OperatorConfiguration or raises InvalidFile; check_against_platform(configuration,
+platform) checks it against the platform's configuration."""
 
-from garnetpaddle.operator.block_decoder import Fault, Faulty
+from garnetpaddle.operator.block_decoder import Diagnostic, InvalidFile
 from garnetpaddle.operator.configuration import (
     Dfp,
     Follower,
@@ -12,19 +12,19 @@
     Limits,
     OperatorConfiguration,
     Sasp,
-    fits,
+    check_against_platform,
     read,
 )
 
 __all__ = [
     "Dfp",
-    "Fault",
-    "Faulty",
+    "Diagnostic",
+    "InvalidFile",
     "Follower",
     "Group",
     "Limits",
     "OperatorConfiguration",
     "Sasp",
-    "fits",
+    "check_against_platform",
     "read",
 ]
--- a/garnetpaddle/rehearsal/__init__.py
+++ b/garnetpaddle/rehearsal/__init__.py
@@ -1,7 +1,7 @@
-"""Rehearsals: incidents from scripts, simulated against the Brain the same way every time.
+"""Rehearsals: deterministic simulations of incidents, with the Brain or a baseline policy.
 
-A script (HCL) gives nodes, proxies, clients and a timeline of troubles. read(path) returns a Script,
-Simulation(script, seed).run() a Result; the rules are checked meanwhile."""
+An HCL script defines nodes, proxies, clients and a timeline of troubles. read(path) returns a Script,
+Simulation(script, seed).run() a Result; the rules are checked during the run."""
 
 from garnetpaddle.rehearsal.result import Result
 from garnetpaddle.rehearsal.script import Script, read
--- a/garnetpaddle/rehearsal/baselines.py
+++ b/garnetpaddle/rehearsal/baselines.py
@@ -1,21 +1,21 @@
-"""Baseline policies to compare the Brain with. A policy is called with (call, excluded) and returns a node's
-name, or None."""
+"""Baseline policies for comparison with the Brain. A policy is called with (call, excluded) and returns a
+node's name, or None."""
 
 
 class EvenPolicy:
-    """Round robin over all nodes that the list has as ready."""
+    """Smooth round robin, with equal weights, over all nodes that the assigner knows as ready."""
 
     def __init__(self, simulation):
         self.simulation, self.credit = simulation, {}
 
-    def known(self):
-        """The nodes that the assigner's list has as ready."""
-        seen = self.simulation.seen_states
-        return [k for k in self.simulation.nodes if seen.get(k) == "ready"]
+    def ready_nodes(self):
+        """Names of the nodes that are ready in the task list as the assigner has it."""
+        states = self.simulation.states_at_assigner
+        return [k for k in self.simulation.nodes if states.get(k) == "ready"]
 
     def __call__(self, call, excluded):
-        """The node whose turn it is."""
-        names = [k for k in self.known() if k != excluded] or self.known()
+        """Picks the node with the most credit, and charges it one round."""
+        names = [k for k in self.ready_nodes() if k != excluded] or self.ready_nodes()
         if not names:
             return None
         for k in names:
@@ -26,21 +26,22 @@
 
 
 class LeastLoadedPolicy:
-    """The least calls in hand for its speed, by the true state: a bound that no assigner can reach."""
+    """Fewest calls in hand for a node's speed, by the true state of the nodes: a bound that no assigner can
+    reach."""
 
     def __init__(self, simulation):
         self.simulation = simulation
 
     def __call__(self, call, excluded):
-        """The node that would be free first."""
-        nodes, listed = self.simulation.nodes, self.simulation.listed
-        able = {
-            k: n.pace() * n.kind.cores
+        """Picks the node that would be free first."""
+        nodes, listed_states = self.simulation.nodes, self.simulation.listed_states
+        speeds = {
+            k: n.core_speed() * n.kind.cores
             for k, n in nodes.items()
-            if n.up and not n.silent and not n.errors and listed[k].state == "ready"
+            if n.up and not n.silent and not n.errors and listed_states[k].state == "ready"
         }
-        able = {k: pace for k, pace in able.items() if pace > 0 and k != excluded}
-        return min(able, key=lambda k: ((nodes[k].held() + 1) / able[k], k), default=None)
+        speeds = {k: speed for k, speed in speeds.items() if speed > 0 and k != excluded}
+        return min(speeds, key=lambda k: ((nodes[k].calls_in_hand() + 1) / speeds[k], k), default=None)
 
 
 POLICIES = {"brain": None, "even": EvenPolicy, "least": LeastLoadedPolicy}
--- a/garnetpaddle/rehearsal/model/channel.py
+++ b/garnetpaddle/rehearsal/model/channel.py
@@ -1,4 +1,5 @@
-"""The relay and its channel: a reply becomes one message a proxy; messages leave one by one, in order."""
+"""The relay and its rate-limited channel: a reply becomes one message per proxy; messages are sent in order,
+one at a time."""
 
 from dataclasses import dataclass, field
 
@@ -9,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SetWeight:
-    """One line of the proxy's table."""
+    """Sets one entry of the proxy's table."""
 
     task: str
     weight: float
@@ -17,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplaceTable:
-    """The proxy's whole table."""
+    """Replaces the proxy's whole table."""
 
     lines: dict
     levels: dict
@@ -26,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SetWithdrawn:
-    """A task is excluded from every table, or no more."""
+    """Excludes a task from every table, or includes it again."""
 
     task: str
     withdrawn: bool
@@ -34,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SetLevel:
-    """The level of routes."""
+    """Sets the admission level of routes."""
 
     routes: tuple
     level: float
@@ -43,7 +44,7 @@
 
 @dataclass(slots=True)
 class Message:
-    """What one reply sends to one proxy. lines: its cost."""
+    """What one reply sends to one proxy. lines: its cost, without the overhead."""
 
     lines: int = 0
     changes: list = field(default_factory=list)
@@ -55,27 +56,33 @@
 
 
 class Channel:
-    """rate: lines a second; head: lines that a message costs by itself; delay: mean s from leaving until it
-    arrives. applied(proxy, mark, elapsed) is called for seals."""
-
-    def __init__(self, scheduler, proxies, rate, head, delay, applied):
-        self.scheduler, self.proxies, self.rate, self.head, self.delay = scheduler, proxies, rate, head, delay
-        self.applied, self.random = applied, scheduler.random_stream("channel")
-        self.life, self.longest_queue = 0, 0.0
+    """rate: lines per second; message_overhead: lines that each message costs on top of its own; mean_delay:
+    in seconds, from sending to arrival. on_applied(proxy, mark, elapsed) is called for seals."""
+
+    def __init__(self, scheduler, proxies, rate, message_overhead, mean_delay, on_applied):
+        self.scheduler, self.proxies, self.rate, self.message_overhead, self.mean_delay = (
+            scheduler,
+            proxies,
+            rate,
+            message_overhead,
+            mean_delay,
+        )
+        self.on_applied, self.random = on_applied, scheduler.random_stream("channel")
+        self.incarnation, self.longest_queue = 0, 0.0
         self.reset()
 
     def reset(self):
-        """The assigner died: what waits or travels is lost, and its tables with it."""
-        self.life += 1
-        self.tables, self.levels, self.withdrawn, self.bound = {}, {}, {}, {}
-        self.free_at, self.arrivals, self.lines = 0, {}, 0.0
+        """Drops queued and in-flight messages and the tables, after the assigner died."""
+        self.incarnation += 1
+        self.tables, self.levels, self.withdrawn, self.table_by_proxy = {}, {}, {}, {}
+        self.idle_at, self.last_arrivals, self.lines = 0, {}, 0.0
 
     def queued_lines(self):
-        """Lines that have not left yet."""
-        return max(0.0, (self.free_at - self.scheduler.now) / TENTHS_OF_MS_PER_SECOND * self.rate)
+        """Lines that are queued and not sent yet."""
+        return max(0.0, (self.idle_at - self.scheduler.now) / TENTHS_OF_MS_PER_SECOND * self.rate)
 
     def send(self, orders):
-        """A reply's orders, in their sequence."""
+        """Sends the orders of one reply, in sequence."""
         messages, mark = {}, None  # proxy -> Message
         for order in orders:
             if isinstance(order, gp.Seal):
@@ -86,14 +93,14 @@
             else:
                 self.apply(order, messages)
         for number, message in messages.items():
-            cost = message.lines + self.head + (mark is not None)
-            self.write(number, cost, message.changes, mark)
+            cost = message.lines + self.message_overhead + (mark is not None)
+            self.enqueue(number, cost, message.changes, mark)
         self.longest_queue = max(self.longest_queue, self.queued_lines())
 
     def apply(self, order, messages):
-        """Applies an order to the relay's tables and adds it to the messages of those whom it concerns."""
+        """Applies an order to the relay's tables and adds it to the messages of the proxies concerned."""
 
-        def tell(number, lines, change):
+        def add_change(number, lines, change):
             messages.setdefault(number, Message()).add(lines, change)
 
         match order:
@@ -101,53 +108,53 @@
                 lines = self.tables.setdefault(table, {})
                 lines.pop(task, None)
                 lines |= {task: weight} if weight else {}
-                for number in self.followers(table):
-                    tell(number, 1, SetWeight(task, weight))
+                for number in self.bound_proxies(table):
+                    add_change(number, 1, SetWeight(task, weight))
             case gp.Bind(proxy=number, table=table):
                 if self.proxies[number].joined:
-                    self.bound[number] = table
-                    whole = self.whole_table(table)
-                    cost = 1 + len(whole.lines) + len(whole.levels) + len(whole.withdrawn)
-                    tell(number, cost, whole)
+                    self.table_by_proxy[number] = table
+                    snapshot = self.table_snapshot(table)
+                    cost = 1 + len(snapshot.lines) + len(snapshot.levels) + len(snapshot.withdrawn)
+                    add_change(number, cost, snapshot)
             case gp.Withdraw(task=task, out=out):
                 self.withdrawn.pop(task, None)
                 self.withdrawn |= {task: True} if out else {}
                 for number in self.joined_proxies():
-                    tell(number, 1, SetWithdrawn(task, out))
+                    add_change(number, 1, SetWithdrawn(task, out))
             case gp.Admit(table=table, routes=routes, level=level, tries=tries):
                 for route in routes:
                     self.levels.setdefault(table, {})[route] = level, tries
-                for number in self.followers(table):
-                    tell(number, 1, SetLevel(routes, level, tries))
+                for number in self.bound_proxies(table):
+                    add_change(number, 1, SetLevel(routes, level, tries))
 
-    def whole_table(self, table):
-        """A table as it stands."""
+    def table_snapshot(self, table):
+        """The current content of a table."""
         lines, levels = self.tables.get(table, {}), self.levels.get(table, {})
         return ReplaceTable(dict(lines), dict(levels), tuple(self.withdrawn))
 
     def joined_proxies(self):
-        """Numbers of the proxies that are joined."""
+        """Numbers of the joined proxies."""
         return [number for number, proxy in self.proxies.items() if proxy.joined]
 
-    def followers(self, table):
-        """Numbers of the joined proxies that are bound to a table."""
-        return [n for n, t in self.bound.items() if t == table and self.proxies[n].joined]
+    def bound_proxies(self, table):
+        """Numbers of the joined proxies bound to a table."""
+        return [n for n, t in self.table_by_proxy.items() if t == table and self.proxies[n].joined]
 
-    def write(self, number, lines, changes, mark):
-        """Queues a message; messages of one proxy arrive in order."""
+    def enqueue(self, number, lines, changes, mark):
+        """Queues a message and schedules its arrival; messages to one proxy arrive in order."""
         now = self.scheduler.now
         self.lines += lines
-        self.free_at = max(self.free_at, now) + lines / self.rate * TENTHS_OF_MS_PER_SECOND
-        travel = self.random.exponential(self.delay) * TENTHS_OF_MS_PER_SECOND
-        at = max(int(self.free_at + travel), self.arrivals.get(number, 0))
-        self.arrivals[number] = at
+        self.idle_at = max(self.idle_at, now) + lines / self.rate * TENTHS_OF_MS_PER_SECOND
+        travel_time = self.random.exponential(self.mean_delay) * TENTHS_OF_MS_PER_SECOND
+        at = max(int(self.idle_at + travel_time), self.last_arrivals.get(number, 0))
+        self.last_arrivals[number] = at
         joined_at = self.proxies[number].joined_at
-        self.scheduler.at(at, self.arrive, number, changes, mark, now, self.life, joined_at)
+        self.scheduler.call_at(at, self.deliver, number, changes, mark, now, self.incarnation, joined_at)
 
-    def arrive(self, number, changes, mark, sent, life, joined_at):
-        """A message arrives, unless the stream broke while it was on its way."""
+    def deliver(self, number, changes, mark, sent_at, incarnation, joined_at):
+        """Delivers a message, unless the stream broke or the assigner died while it was in flight."""
         proxy = self.proxies[number]
-        if life != self.life or not proxy.joined or proxy.joined_at != joined_at:
+        if incarnation != self.incarnation or not proxy.joined or proxy.joined_at != joined_at:
             return
         for change in changes:
             match change:
@@ -162,8 +169,8 @@
                 case SetLevel(routes, level, tries):
                     proxy.levels |= dict.fromkeys(routes, (level, tries))
         if mark is not None:
-            self.applied(number, mark, self.scheduler.now - sent)
+            self.on_applied(number, mark, self.scheduler.now - sent_at)
 
-    def leave(self, number):
-        """A proxy's stream has broken."""
-        self.bound.pop(number, None)
+    def disconnect(self, number):
+        """Forgets the binding of a proxy whose stream broke."""
+        self.table_by_proxy.pop(number, None)
--- a/garnetpaddle/rehearsal/model/node.py
+++ b/garnetpaddle/rehearsal/model/node.py
@@ -1,181 +1,186 @@
-"""A node: cores that work first come, first served, a queue, connections, a warm-up, and its faults."""
+"""A node: cores that serve a FIFO queue, a connection limit, a speed ramp-up after a start, and faults."""
 
 import collections
 
-WARM_STEP = 5_000  # 0.5 s: how often a cold node's speed is set anew
+RAMP_UP_STEP = 5_000  # 0.5 s between speed updates of a cold node
 
 
 class Job:
-    """A try at a node. left: core seconds of work still to do; end_serial: of its scheduled end."""
+    """A try at a node. remaining_work: in core seconds at speed 1; finish_serial: of the latest scheduled
+    finish, which outdates earlier ones."""
 
-    __slots__ = ("call", "done", "end_serial", "left", "since", "state")
+    __slots__ = ("call", "on_done", "finish_serial", "remaining_work", "accounted_at", "state")
 
-    def __init__(self, call, work, done):
-        self.call, self.left, self.done = call, work, done
-        self.state, self.since, self.end_serial = "waits", 0, 0
+    def __init__(self, call, work, on_done):
+        self.call, self.remaining_work, self.on_done = call, work, on_done
+        self.state, self.accounted_at, self.finish_serial = "queued", 0, 0
 
 
 class Node:
     """kind: script.Kind; rules: a RuleChecker or None.
 
-    `take` begins a try; its `done(outcome)` is called with "ok", "failed" or "refused" (it never ran), or
-    never if the node does not answer. Faults are kept by name, so that they overlap and end in any order."""
+    `submit` begins a try; its `on_done(outcome)` is called with "ok", "failed" or "refused" (it never ran),
+    or never if the node does not answer. Faults are keyed by name, so that they may overlap and end in any
+    order. failed_cold: overloaded while cold, so that it crashed for good."""
 
     def __init__(self, scheduler, name, kind, zone, started_at=None, rules=None):
         self.scheduler, self.name, self.kind, self.zone, self.rules = scheduler, name, kind, zone, rules
         self.running, self.queue = {}, collections.deque()
-        self.up, self.started_at, self.fallen = True, started_at or 0, False
-        self.warm_for = int(kind.warm_after * 10_000) if started_at is not None else 0
+        self.up, self.started_at, self.failed_cold = True, started_at or 0, False
+        self.ramp_up_time = int(kind.warm_after * 10_000) if started_at is not None else 0
         self.slow, self.stolen, self.errors = {}, {}, {}  # fault -> amount
         self.silent, self.paused = {}, {}
         self.connections, self.random = {}, scheduler.random_stream(f"node {name}")
-        self.work_done, self.executed, self.cold_work = 0.0, 0, collections.deque()
-        self.paced = None  # the pace at which what runs was last scheduled
-        if self.warm_for:
-            scheduler.after(WARM_STEP, self.warm)
+        self.work_done, self.started_jobs, self.recent_cold_work = 0.0, 0, collections.deque()
+        self.scheduled_speed = None  # the core speed by which running jobs were last scheduled
+        if self.ramp_up_time:
+            scheduler.call_later(RAMP_UP_STEP, self.ramp_up)
 
-    def held(self):
-        """Calls that run or wait."""
+    def calls_in_hand(self):
+        """The number of running and queued jobs."""
         return len(self.running) + len(self.queue)
 
-    def warmth(self):
-        """The share of its full speed, by its age."""
+    def speed_fraction(self):
+        """Its share of full speed: rises linearly from start_share to 1 over the ramp-up time."""
         age = self.scheduler.now - self.started_at
-        if age >= self.warm_for:
+        if age >= self.ramp_up_time:
             return 1.0
-        return self.kind.start_share + (1 - self.kind.start_share) * age / self.warm_for
+        return self.kind.start_share + (1 - self.kind.start_share) * age / self.ramp_up_time
 
-    def pace(self):
-        """Work a core does in a second."""
+    def core_speed(self):
+        """Work that one core does per second, faults included."""
         if self.paused or not self.up:
             return 0.0
-        pace = self.kind.speed * self.warmth()
+        core_speed = self.kind.speed * self.speed_fraction()
         for amount in self.slow.values():
-            pace /= amount
+            core_speed /= amount
         for amount in self.stolen.values():
-            pace *= 1 - amount
-        return pace
-
-    def warm(self):
-        """Adjusts the speed until it is warm."""
-        if self.up and self.warmth() < 1:
-            self.change()
-            self.scheduler.after(WARM_STEP, self.warm)
-
-    def change(self):
-        """Its pace has changed: what runs is scheduled anew."""
-        pace = self.pace()
+            core_speed *= 1 - amount
+        return core_speed
+
+    def ramp_up(self):
+        """Updates the speed periodically until it is full."""
+        if self.up and self.speed_fraction() < 1:
+            self.reschedule_running()
+            self.scheduler.call_later(RAMP_UP_STEP, self.ramp_up)
+
+    def reschedule_running(self):
+        """Reschedules the finish of running jobs after a change of speed."""
+        core_speed = self.core_speed()
         for job in self.running:
-            self.settle_work(job)
-            self.schedule(job, pace)
-        self.paced = pace
-
-    def settle_work(self, job):
-        """Counts the work done on a job since the last time."""
-        pace = self.paced if self.paced is not None else self.pace()
-        did = min(job.left, (self.scheduler.now - job.since) / 10_000 * pace)
-        job.left, job.since = job.left - did, self.scheduler.now
-        self.work_done += did
-
-    def schedule(self, job, pace):
-        """Schedules a job's end at this pace."""
-        job.end_serial += 1
-        if pace > 0:
-            self.scheduler.after(int(job.left / pace * 10_000) + 1, self.end, job, job.end_serial)
-
-    def take(self, call, proxy, done):
-        """A try arrives. The Job, or None where it is answered at once or never will be."""
+            self.account_work(job)
+            self.schedule_finish(job, core_speed)
+        self.scheduled_speed = core_speed
+
+    def account_work(self, job):
+        """Accounts for the work done on a job since it was last accounted for."""
+        core_speed = self.scheduled_speed if self.scheduled_speed is not None else self.core_speed()
+        progress = min(job.remaining_work, (self.scheduler.now - job.accounted_at) / 10_000 * core_speed)
+        job.remaining_work, job.accounted_at = job.remaining_work - progress, self.scheduler.now
+        self.work_done += progress
+
+    def schedule_finish(self, job, core_speed):
+        """Schedules the finish of a job at this speed; none at speed 0."""
+        job.finish_serial += 1
+        if core_speed > 0:
+            self.scheduler.call_later(
+                int(job.remaining_work / core_speed * 10_000) + 1, self.finish_job, job, job.finish_serial
+            )
+
+    def submit(self, call, proxy, on_done):
+        """A try arrives. Returns its Job, or None if it was answered at once or never will be."""
         if not self.up:
-            done("refused")
+            on_done("refused")
             return None
         handshake = 0.0
         if proxy not in self.connections:
             if len(self.connections) >= self.kind.accept:
-                done("refused")
+                on_done("refused")
                 return None
             self.connections[proxy], handshake = True, self.kind.handshake
-        if self.warmth() < 1 and self.overload_cold(call.work + handshake):
-            done("refused")
+        if self.speed_fraction() < 1 and self.overload_while_cold(call.work + handshake):
+            on_done("refused")
             return None
         if self.silent:
             return None
         if self.errors and self.random.random() < max(self.errors.values()):
-            done("failed")
+            on_done("failed")
             return None
-        job = Job(call, call.work + handshake, done)
+        job = Job(call, call.work + handshake, on_done)
         if len(self.running) < self.kind.cores:
-            self.begin(job)
+            self.start_job(job)
         elif len(self.queue) < self.kind.queue:
             self.queue.append(job)
         else:
-            done("refused")
+            on_done("refused")
             return None
         return job
 
-    def overload_cold(self, work):
-        """Whether a cold node fails by this: more than a multiple of what it can do, over a window."""
+    def overload_while_cold(self, work):
+        """Crashes a cold node, and returns True, if the work that it received within the cold window exceeds
+        fall_multiple times its capacity."""
         rules, now = self.rules, self.scheduler.now
         if rules is None:
             return False
-        self.cold_work.append((now, work))
-        while self.cold_work[0][0] <= now - rules.cold_window:
-            self.cold_work.popleft()
-        able = self.kind.cores * self.kind.speed * self.warmth() * rules.cold_window / 10_000
-        if sum(w for _, w in self.cold_work) <= rules.fall_multiple * able:
+        self.recent_cold_work.append((now, work))
+        while self.recent_cold_work[0][0] <= now - rules.cold_window:
+            self.recent_cold_work.popleft()
+        capacity = self.kind.cores * self.kind.speed * self.speed_fraction() * rules.cold_window / 10_000
+        if sum(w for _, w in self.recent_cold_work) <= rules.fall_multiple * capacity:
             return False
-        self.fallen = True
+        self.failed_cold = True
         self.stop()
-        rules.cold_overload(self.name)
+        rules.record_cold_overload(self.name)
         return True
 
-    def begin(self, job):
-        """A job gets a core."""
-        job.state, job.since = "runs", self.scheduler.now
-        self.executed += 1
+    def start_job(self, job):
+        """Starts a job on a free core."""
+        job.state, job.accounted_at = "running", self.scheduler.now
+        self.started_jobs += 1
         if self.rules is not None:
-            self.rules.work_began(job.call, self.name)
+            self.rules.record_execution(job.call, self.name)
         self.running[job] = True
-        self.paced = self.pace()
-        self.schedule(job, self.paced)
+        self.scheduled_speed = self.core_speed()
+        self.schedule_finish(job, self.scheduled_speed)
 
-    def end(self, job, serial):
-        """A job is done, unless it was scheduled anew since."""
-        if job.state != "runs" or serial != job.end_serial:
+    def finish_job(self, job, serial):
+        """Finishes a job, unless it was rescheduled or ended since."""
+        if job.state != "running" or serial != job.finish_serial:
             return
-        self.settle_work(job)
-        self.leave(job)
-        job.done("ok")
+        self.account_work(job)
+        self.remove_job(job)
+        job.on_done("ok")
 
-    def leave(self, job):
-        """A job leaves; queued ones get its core."""
-        if job.state == "runs":
+    def remove_job(self, job):
+        """Removes a job; queued ones get the free core."""
+        if job.state == "running":
             del self.running[job]
-        elif job.state == "waits" and job in self.queue:
+        elif job.state == "queued" and job in self.queue:
             self.queue.remove(job)
-        job.state = "gone"
+        job.state = "ended"
         while self.queue and len(self.running) < self.kind.cores and self.up:
-            self.begin(self.queue.popleft())
+            self.start_job(self.queue.popleft())
 
     def cancel(self, job):
-        """The client has given up: what is left of its work is not done."""
-        if job.state == "runs":
-            self.settle_work(job)
-        self.leave(job)
+        """Cancels a job whose client has given up: its remaining work is not done."""
+        if job.state == "running":
+            self.account_work(job)
+        self.remove_job(job)
 
     def stop(self):
-        """Its process dies: what it had in hand fails, without a word of whether it ran."""
+        """The process dies: running and queued jobs fail alike, and callers can't tell whether they ran."""
         self.up = False
         jobs = [*self.running, *self.queue]
         self.running, self.queue, self.connections = {}, collections.deque(), {}
         for job in jobs:
-            job.state = "gone"
-            job.done("failed")
+            job.state = "ended"
+            job.on_done("failed")
 
     def start(self):
-        """Its process comes back, cold."""
-        if self.up or self.fallen:
+        """The process restarts cold, unless the node failed for good."""
+        if self.up or self.failed_cold:
             return
         self.up, self.started_at = True, self.scheduler.now
-        self.warm_for = int(self.kind.warm_after * 10_000)
-        self.paced = None
-        self.scheduler.after(WARM_STEP, self.warm)
+        self.ramp_up_time = int(self.kind.warm_after * 10_000)
+        self.scheduled_speed = None
+        self.scheduler.call_later(RAMP_UP_STEP, self.ramp_up)
--- a/garnetpaddle/rehearsal/result.py
+++ b/garnetpaddle/rehearsal/result.py
@@ -1,17 +1,18 @@
-"""The result of a simulation: service, latencies, loads, rule violations, and its log."""
+"""The result of a simulation: service, latencies, samples, rule violations and log."""
 
 import json
 from dataclasses import dataclass, field
 
 from ddsketch import DDSketch
 
-ACCURACY = 0.01  # of a latency's quantile
-WINDOW = 100_000  # 10 s
+RELATIVE_ACCURACY = 0.01  # of latency quantiles
+WINDOW_LENGTH = 100_000  # 10 s
 
 
 @dataclass
 class Result:
-    """Times are tenths of a ms. Service: the importance answered within the SLO time over that asked for."""
+    """Times are tenths of a ms. asked, served: the summed importance of all calls, and of those answered
+    within the SLO time; service is served / asked."""
 
     script: str
     seed: int
@@ -23,19 +24,19 @@
     seconds: dict = field(default_factory=dict)  # second -> [asked, served]
     outcomes: dict = field(default_factory=dict)
     troubles: list = field(default_factory=list)  # (name, kind, start, end) in seconds
-    latencies: DDSketch = field(default_factory=lambda: DDSketch(ACCURACY))
-    samples: list = field(default_factory=list)  # each second: what the plots show
+    latencies: DDSketch = field(default_factory=lambda: DDSketch(RELATIVE_ACCURACY))
+    samples: list = field(default_factory=list)  # one per second, for the plots
     log: list = field(default_factory=list)  # (at, text)
     violations: list = field(default_factory=list)
     counts: dict = field(default_factory=dict)
 
-    def count(self, route, importance, came, outcome, elapsed, in_time):
-        """Counts a call that has ended."""
-        window = self.windows.setdefault(came // WINDOW, [0.0, 0.0])
-        name = self.routes.setdefault(route, [0.0, 0.0])
+    def count(self, route, importance, called_at, outcome, elapsed, in_time):
+        """Counts an ended call."""
+        window_sums = self.windows.setdefault(called_at // WINDOW_LENGTH, [0.0, 0.0])
+        route_sums = self.routes.setdefault(route, [0.0, 0.0])
         self.asked += importance
-        second = self.seconds.setdefault(came // 10_000, [0.0, 0.0])
-        for sums in (window, name, second):
+        second_sums = self.seconds.setdefault(called_at // 10_000, [0.0, 0.0])
+        for sums in (window_sums, route_sums, second_sums):
             sums[0] += importance
             sums[1] += importance * in_time
         self.served += importance * in_time
@@ -44,19 +45,19 @@
             self.latencies.add(elapsed)
 
     def service(self):
-        """The service over the whole simulation."""
+        """Service over the whole simulation."""
         return self.served / self.asked if self.asked else 1.0
 
     def worst(self, sums):
-        """The least service among sums of (asked, served)."""
+        """The lowest service among sums of (asked, served)."""
         return min((served / asked for asked, served in sums.values() if asked), default=1.0)
 
-    def quantile(self, part):
-        """A latency in tenths of a ms; None where nothing was answered."""
-        return self.latencies.get_quantile_value(part)
+    def quantile(self, fraction):
+        """A latency quantile in tenths of a ms; None if nothing was answered."""
+        return self.latencies.get_quantile_value(fraction)
 
     def as_dict(self):
-        """The result as plain values, in a fixed order."""
+        """The result as JSON-compatible values, in a fixed order."""
         return {
             "script": self.script,
             "seed": self.seed,
@@ -79,5 +80,5 @@
         }
 
     def to_json(self):
-        """JSON: the same bytes for the same simulation, wherever it ran."""
+        """The result as JSON: identical bytes for the same simulation on any machine."""
         return json.dumps(self.as_dict(), separators=(",", ":"), ensure_ascii=False).encode()
--- a/garnetpaddle/rehearsal/script.py
+++ b/garnetpaddle/rehearsal/script.py
@@ -1,6 +1,6 @@
-"""A rehearsal's script: HCL, read with all that it includes, checked as a whole, each fault with its place.
+"""Rehearsal scripts: reads an HCL file with its includes and validates it; each diagnostic has its position.
 
-Times are seconds in the file and whole tenths of a ms in `Script`'s helpers; shares are parts of 1.
+Times are seconds in the file and whole tenths of a ms in `Script`'s helpers; shares are fractions of 1.
 """
 
 import os
@@ -9,27 +9,27 @@
 import msgspec
 
 from garnetpaddle.operator import hcl
-from garnetpaddle.operator.block_decoder import Fault, Faulty, decode_attributes, title
+from garnetpaddle.operator.block_decoder import Diagnostic, InvalidFile, block_title, decode_attributes
 
 Positive = Annotated[float, msgspec.Meta(gt=0, le=1e6)]
 NonNegative = Annotated[float, msgspec.Meta(ge=0, le=1e6)]
 Fraction = Annotated[float, msgspec.Meta(ge=0, le=1)]
 Count = Annotated[int, msgspec.Meta(ge=1, le=10_000)]
-MAX_INCLUDES = 8  # files deep
+MAX_INCLUDES = 8  # nested files
 KINDS = {
-    "silent": "takes calls and never answers",
-    "slow": "works `amount` times slower",
-    "errors": "fails `amount` of its calls at once",
-    "pause": "stands still, then goes on",
-    "crash": "its process dies, and starts cold at the end",
-    "stolen": "`amount` of its cores are taken away",
-    "drain": "the list says that it drains; its process ends at the end",
-    "release": "as drain, and a new node takes its place, in batches of `amount` of them",
-    "list_late": "what the list tells comes `amount` s later",
-    "list_wrong": "the list drops those named",
-    "streams": "the relay's streams of `share` of the proxies break",
-    "reports_late": "reports come `amount` s later",
-    "killed": "the assigner is killed, and starts anew at the end",
+    "silent": "accepts calls and never answers",
+    "slow": "runs `amount` times slower",
+    "errors": "fails the fraction `amount` of its calls at once",
+    "pause": "pauses, then continues",
+    "crash": "its process crashes, and restarts cold at the end",
+    "stolen": "the fraction `amount` of its cores is taken by others",
+    "drain": "is listed as draining; its process stops at the end",
+    "release": "as drain, with a new node in its place, in batches of the fraction `amount` of them",
+    "list_late": "list updates arrive `amount` s later",
+    "list_wrong": "the list omits the selected nodes",
+    "streams": "the relay's streams of the fraction `share` of the proxies break",
+    "reports_late": "reports arrive `amount` s later",
+    "killed": "the assigner is killed, and restarts at the end",
     "rate": "clients call `amount` times as often",
 }
 KINDS_ON_NODES = ("silent", "slow", "errors", "pause", "crash", "stolen", "drain", "release", "list_wrong")
@@ -45,15 +45,15 @@
 
 
 class Rehearsal(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The simulation as a whole."""
+    """Settings of the whole simulation."""
 
     length: Positive = 60.0
     seed: Annotated[int, msgspec.Meta(ge=0)] = 1
-    include: str = ""  # another script, relative to this one: what it says stands where this one says nothing
+    include: str = ""  # path, relative to this script, of a script that provides what this one leaves out
 
 
 class Zone(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A zone and how many proxies it has."""
+    """A zone and its number of proxies."""
 
     name: str
     proxies: Count = 3
@@ -63,26 +63,26 @@
     """A class of calls."""
 
     name: str
-    share: Positive
+    share: Positive  # of all calls, relative to the other routes
     work: Positive  # s on a core of speed 1, on average
-    slo: Positive
-    limit: Positive  # s after which the client gives up
+    slo: Positive  # SLO time, s
+    limit: Positive  # time limit: s after which the client gives up
     importance: Positive = 1.0
     effect: Literal["repeatable", "mutating"] = "repeatable"
     spread: Literal["exponential", "uniform", "fixed"] = "uniform"  # of the work; uniform: 0.7 to 1.3 of it
 
 
 class Kind(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A kind of machine that nodes run on."""
+    """A machine type that nodes run on."""
 
     name: str
     cores: Count = 2
     speed: Positive = 1.0
-    queue: Annotated[int, msgspec.Meta(ge=0, le=100_000)] = 40  # calls that wait; beyond it a call is refused
-    accept: Count = 300  # connections
-    handshake: NonNegative = 0.01  # s of work that a new connection costs
-    warm_after: Positive = 15.0
-    start_share: Annotated[float, msgspec.Meta(gt=0, le=1)] = 0.25
+    queue: Annotated[int, msgspec.Meta(ge=0, le=100_000)] = 40  # most queued calls; further ones are refused
+    accept: Count = 300  # most connections
+    handshake: NonNegative = 0.01  # s of work per new connection
+    warm_after: Positive = 15.0  # s from a start to full speed
+    start_share: Annotated[float, msgspec.Meta(gt=0, le=1)] = 0.25  # of full speed, at a start
 
 
 class Nodes(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -95,36 +95,36 @@
 
 
 class Clients(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """How clients call."""
+    """The load from clients."""
 
-    rate: Positive = 100.0  # first tries a second
-    curve: tuple[Positive, ...] = (1.0,)  # times that, over the day, in even parts
-    again: Fraction = 0.5  # of clients that call once more after a failure, where the route is repeatable
-    uneven: Positive = 1.0  # the busiest proxy's calls over the least busy one's
+    rate: Positive = 100.0  # first tries per second
+    curve: tuple[Positive, ...] = (1.0,)  # factors of the rate, interpolated evenly over the length
+    again: Fraction = 0.5  # fraction of clients that retry once after a failure, on repeatable routes
+    uneven: Positive = 1.0  # ratio of calls at the busiest proxy to those at the least busy one
 
 
 class Delays(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Delays and limits of the platform; seconds where nothing else is said."""
-
-    channel: Positive = 0.25  # s that a message takes, on average
-    lines: Positive = 2_000.0  # a second
-    queue_limit: Positive = 4_000.0
-    head: NonNegative = 6.0
-    list: NonNegative = 1.0
-    reports: NonNegative = 0.8
-    period: Positive = 1.0
-    connect: Positive = 0.3  # s until a connection that does not come up is given up
-    redial: Positive = 1.0  # s until a proxy whose stream broke has joined again
-    grace: Positive = 3.0
-    bare: Positive = 3.0
-    fall_multiple: Positive = 3.0
-    tip_after: Positive = 3.0
-    strikes: Annotated[int, msgspec.Meta(ge=0, le=1_000)] = 8
-    avoid: Positive = 6.0  # s that a proxy keeps away after so many failures in a row
+    """Delays and limits of the platform, in seconds unless noted."""
+
+    channel: Positive = 0.25  # mean s from sending a message to its arrival
+    lines: Positive = 2_000.0  # lines per second that the channel carries
+    queue_limit: Positive = 4_000.0  # lines that may be queued for the channel
+    head: NonNegative = 6.0  # lines that a message costs on top of its own
+    list: NonNegative = 1.0  # until a change of the task list arrives
+    reports: NonNegative = 0.8  # until a report arrives
+    period: Positive = 1.0  # between reports
+    connect: Positive = 0.3  # s until a connection attempt times out
+    redial: Positive = 1.0  # mean s until a proxy whose stream broke reconnects
+    grace: Positive = 3.0  # during which calls may still be sent to a task that is draining or gone
+    bare: Positive = 3.0  # for which a joined proxy may have no usable node
+    fall_multiple: Positive = 3.0  # of its capacity: work at which a cold node crashes
+    tip_after: Positive = 3.0  # over which the work of a cold node is summed
+    strikes: Annotated[int, msgspec.Meta(ge=0, le=1_000)] = 8  # 0: nodes are never avoided
+    avoid: Positive = 6.0  # s for which a proxy avoids a node after `strikes` consecutive failures
 
 
 class Trouble(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A fault that strikes during the simulation."""
+    """A fault to inject during the simulation."""
 
     name: str
     kind: Literal[
@@ -144,16 +144,16 @@
         "rate",
     ]
     start: NonNegative
-    end: NonNegative = 0.0  # 0: the end of the day
+    end: NonNegative = 0.0  # 0: the end of the simulation
     nodes: list[str] = []  # by name ("washhouse-2") or group ("washhouse")
     zone: str = ""
-    share: Fraction = 0.0  # of the nodes (or streams) left by the above, drawn by the seed
+    share: Fraction = 0.0  # fraction, drawn by the seed, of the nodes selected above (or of the streams)
     amount: NonNegative = 0.0
-    ramp: NonNegative = 0.0  # s over which those named are struck, one after the other
+    ramp: NonNegative = 0.0  # s over which the trouble begins at the selected nodes, one after the other
 
 
 class Script(msgspec.Struct, frozen=True):
-    """The whole script."""
+    """A script with its includes."""
 
     path: str
     rehearsal: Rehearsal
@@ -165,8 +165,8 @@
     delays: Delays
     troubles: tuple[Trouble, ...]
 
-    def names(self):
-        """The initial nodes: (name, group)."""
+    def node_names(self):
+        """(name, group) of each initial node."""
         return [(f"{group.name}-{k}", group) for group in self.nodes for k in range(1, group.count + 1)]
 
 
@@ -180,95 +180,107 @@
     "delays": Delays,
     "trouble": Trouble,
 }
-ONCE = ("rehearsal", "clients", "delays")
+SINGLETONS = ("rehearsal", "clients", "delays")
 
 
 def read(path):
-    """The Script of a file and all that it includes; raises Faulty."""
-    faults, found, chain = [], {kind: {} for kind in BLOCKS}, []
-    read_blocks(path, found, faults, chain)
-    if faults:
-        raise Faulty(faults)
+    """Reads the Script of a file and its includes; raises InvalidFile."""
+    diagnostics, blocks_by_kind, chain = [], {kind: {} for kind in BLOCKS}, []
+    read_blocks(path, blocks_by_kind, diagnostics, chain)
+    if diagnostics:
+        raise InvalidFile(diagnostics)
 
-    def once(kind):
-        return found[kind][""][0] if found[kind] else BLOCKS[kind]()
+    def singleton(kind):
+        return blocks_by_kind[kind][""][0] if blocks_by_kind[kind] else BLOCKS[kind]()
 
-    def many(kind):
-        return tuple(made for made, _ in found[kind].values())
+    def labelled(kind):
+        return tuple(decoded for decoded, _ in blocks_by_kind[kind].values())
 
     script = Script(
         path,
-        once("rehearsal"),
-        many("zone"),
-        many("route"),
-        many("kind"),
-        many("nodes"),
-        once("clients"),
-        once("delays"),
-        many("trouble"),
+        singleton("rehearsal"),
+        labelled("zone"),
+        labelled("route"),
+        labelled("kind"),
+        labelled("nodes"),
+        singleton("clients"),
+        singleton("delays"),
+        labelled("trouble"),
     )
-    faults = list(check(script, found))
-    if faults:
-        raise Faulty(sorted(faults, key=lambda f: (f.file, f.line)))
+    diagnostics = list(check(script, blocks_by_kind))
+    if diagnostics:
+        raise InvalidFile(sorted(diagnostics, key=lambda d: (d.file, d.line)))
     return script
 
 
-def read_blocks(path, found, faults, chain):
-    """Adds a file's blocks, then those of the file it includes, where this one has none of that name."""
+def read_blocks(path, blocks_by_kind, diagnostics, chain):
+    """Adds a file's blocks, then those of the file it includes that are not in this one."""
     try:
         with open(path, encoding="utf-8") as file:
             blocks = hcl.blocks(file.read())
     except (OSError, UnicodeDecodeError) as error:
-        faults.append(Fault(path, 1, "file", getattr(error, "strerror", None) or "not UTF-8 text"))
+        diagnostics.append(Diagnostic(path, 1, "file", getattr(error, "strerror", None) or "not UTF-8 text"))
         return
-    except hcl.Unreadable as error:
-        faults.append(Fault(path, error.line, error.field, error.why))
+    except hcl.InvalidHcl as error:
+        diagnostics.append(Diagnostic(path, error.line, error.field, error.why))
         return
-    include, mine = "", {}
+    include, own_blocks = "", {}
     for block in blocks:
-        made = decode_block(path, block, faults)
-        if made is None:
+        decoded = decode_block(path, block, diagnostics)
+        if decoded is None:
             continue
-        name = "" if block.kind in ONCE else made.name
-        if (block.kind, name) in mine:
-            faults.append(Fault(path, block.line, title(block), "stands twice"))
-        mine[block.kind, name] = True
+        name = "" if block.kind in SINGLETONS else decoded.name
+        if (block.kind, name) in own_blocks:
+            diagnostics.append(Diagnostic(path, block.line, block_title(block), "duplicate block"))
+        own_blocks[block.kind, name] = True
         place = path, block.line, {key: line for key, (_, line) in block.attributes.items()}
-        include = made.include if block.kind == "rehearsal" else include
-        if name not in found[block.kind]:
-            found[block.kind][name] = made, place
-        elif block.kind in ONCE:  # what the including script left open is taken from the included one
-            outer, (file, line, lines) = found[block.kind][name]
-            left = {key: getattr(made, key) for key in place[2] if key not in lines}
-            lines = lines | dict.fromkeys(left, line)
-            found[block.kind][name] = msgspec.structs.replace(outer, **left), (file, line, lines)
+        include = decoded.include if block.kind == "rehearsal" else include
+        if name not in blocks_by_kind[block.kind]:
+            blocks_by_kind[block.kind][name] = decoded, place
+        elif (
+            block.kind in SINGLETONS
+        ):  # fields that the including script leaves out come from the included one
+            including, (file, line, lines) = blocks_by_kind[block.kind][name]
+            inherited = {key: getattr(decoded, key) for key in place[2] if key not in lines}
+            lines = lines | dict.fromkeys(inherited, line)
+            blocks_by_kind[block.kind][name] = (
+                msgspec.structs.replace(including, **inherited),
+                (file, line, lines),
+            )
     if include:
         if len(chain) >= MAX_INCLUDES or os.path.abspath(path) in chain:
-            faults.append(Fault(path, 1, "rehearsal.include", "includes go in a circle, or over 8 deep"))
+            diagnostics.append(
+                Diagnostic(path, 1, "rehearsal.include", "circular include, or more than 8 levels")
+            )
             return
         read_blocks(
-            os.path.join(os.path.dirname(path), include), found, faults, [*chain, os.path.abspath(path)]
+            os.path.join(os.path.dirname(path), include),
+            blocks_by_kind,
+            diagnostics,
+            [*chain, os.path.abspath(path)],
         )
 
 
-def decode_block(path, block, faults):
-    """A block as its type, or None if it adds faults."""
+def decode_block(path, block, diagnostics):
+    """Decodes a block to its type; returns None if that adds diagnostics."""
     kind = BLOCKS.get(block.kind)
     if kind is None:
-        faults.append(Fault(path, block.line, block.kind, f"no such block; known are {', '.join(BLOCKS)}"))
+        diagnostics.append(
+            Diagnostic(path, block.line, block.kind, f"unknown block; known blocks: {', '.join(BLOCKS)}")
+        )
         return None
-    if len(block.labels) != (0 if block.kind in ONCE else 1):
-        wants = "no label" if block.kind in ONCE else "one label, its name"
-        faults.append(Fault(path, block.line, title(block), f"wants {wants}"))
+    if len(block.labels) != (0 if block.kind in SINGLETONS else 1):
+        expected = "no label" if block.kind in SINGLETONS else "one label, its name"
+        diagnostics.append(Diagnostic(path, block.line, block_title(block), f"expects {expected}"))
         return None
-    before, found = len(faults), decode_attributes(path, block, kind, faults)
-    if block.kind not in ONCE:
-        found["name"] = block.labels[0]
-    return kind(**found) if len(faults) == before else None
+    count_before, values = len(diagnostics), decode_attributes(path, block, kind, diagnostics)
+    if block.kind not in SINGLETONS:
+        values["name"] = block.labels[0]
+    return kind(**values) if len(diagnostics) == count_before else None
 
 
-def check(script, found):
-    """What no simulation can run from: unknown names, times outside its length, missing blocks."""
+def check(script, blocks_by_kind):
+    """Diagnostics of the whole script: missing blocks, unknown names, times outside its length."""
     for kind, blocks in (
         ("zone", script.zones),
         ("route", script.routes),
@@ -276,42 +288,48 @@
         ("nodes", script.nodes),
     ):
         if not blocks:
-            yield Fault(script.path, 1, kind, "none is given, here or in what is included")
+            yield Diagnostic(script.path, 1, kind, "missing in this script and its includes")
     zones, kinds = {z.name for z in script.zones}, {k.name for k in script.kinds}
     for group in script.nodes:
         if group.zone not in zones:
-            yield fault(script, found, "nodes", group.name, "zone", f"no zone {group.zone!r}")
+            yield diagnostic_of(
+                script, blocks_by_kind, "nodes", group.name, "zone", f"unknown zone {group.zone!r}"
+            )
         if group.kind not in kinds:
-            yield fault(script, found, "nodes", group.name, "kind", f"no kind {group.kind!r}")
+            yield diagnostic_of(
+                script, blocks_by_kind, "nodes", group.name, "kind", f"unknown kind {group.kind!r}"
+            )
     for route in script.routes:
         if route.slo > route.limit:
-            yield fault(script, found, "route", route.name, "slo", "is over the time limit")
-    known = {name for name, _ in script.names()} | {group.name for group in script.nodes}
+            yield diagnostic_of(script, blocks_by_kind, "route", route.name, "slo", "exceeds the time limit")
+    known = {name for name, _ in script.node_names()} | {group.name for group in script.nodes}
     for trouble in script.troubles:
         for field, why in check_trouble(trouble, known, zones, script.rehearsal.length):
-            yield fault(script, found, "trouble", trouble.name, field, why)
+            yield diagnostic_of(script, blocks_by_kind, "trouble", trouble.name, field, why)
 
 
-def fault(script, found, kind, name, field, why):
-    """A fault with the place of a block's field."""
-    path, line, lines = found[kind][name][1] if name in found[kind] else (script.path, 1, {})
+def diagnostic_of(script, blocks_by_kind, kind, name, field, why):
+    """A Diagnostic with the position of a block's field."""
+    path, line, lines = (
+        blocks_by_kind[kind][name][1] if name in blocks_by_kind[kind] else (script.path, 1, {})
+    )
     where = f"{kind}.{name}.{field}".replace("..", ".").strip(".")
-    return Fault(path, lines.get(field, line), where, why)
+    return Diagnostic(path, lines.get(field, line), where, why)
 
 
 def check_trouble(trouble, known, zones, length):
-    """(field, why) of each fault of a trouble. known: names of nodes and groups."""
+    """Yields (field, why) for each mistake in a trouble. known: names of nodes and groups."""
     for name in trouble.nodes:
         if name not in known:
-            yield "nodes", f"no node or group {name!r}"
+            yield "nodes", f"unknown node or group {name!r}"
     if trouble.zone and trouble.zone not in zones:
-        yield "zone", f"no zone {trouble.zone!r}"
+        yield "zone", f"unknown zone {trouble.zone!r}"
     if trouble.start >= length:
-        yield "start", f"is not before the day's end, {length:g} s"
+        yield "start", f"must be before the end of the rehearsal, {length:g} s"
     if trouble.end and trouble.end <= trouble.start:
-        yield "end", "is not after its start"
+        yield "end", "must be after start"
     if trouble.kind in KINDS_ON_NODES and not (trouble.nodes or trouble.zone or trouble.share):
-        yield "nodes", "says nobody: nodes, zone or share is wanted"
+        yield "nodes", "no targets; set nodes, zone or share"
     low, high = AMOUNT_RANGES.get(trouble.kind, (0, 0))
     if trouble.kind in AMOUNT_RANGES and not low < trouble.amount <= high:
-        yield "amount", f"{trouble.amount:g} is not above {low:g} and up to {high:g}"
+        yield "amount", f"{trouble.amount:g} is out of range: must be above {low:g} and at most {high:g}"
--- a/garnetpaddle/rehearsal/simulation.py
+++ b/garnetpaddle/rehearsal/simulation.py
@@ -1,4 +1,4 @@
-"""A simulation: the script's parties, the Brain in process, and the faults, on a virtual clock."""
+"""A simulation on a virtual clock: the script's nodes, proxies and clients, its troubles, and the Brain."""
 
 from typing import NamedTuple
 
@@ -7,70 +7,70 @@
 from garnetpaddle.rehearsal.baselines import POLICIES
 from garnetpaddle.rehearsal.fault_injection import FaultInjector
 from garnetpaddle.rehearsal.load_generator import LoadGenerator
-from garnetpaddle.rehearsal.model import Channel, Node, Proxy, Scheduler, tenths
+from garnetpaddle.rehearsal.model import Channel, Node, Proxy, Scheduler, tenths_of_ms
 from garnetpaddle.rehearsal.result import Result
 from garnetpaddle.rehearsal.rule_checker import RuleChecker
 
 TENTHS_OF_MS_PER_SECOND = 10_000
-EPOCH = 10**9  # the Brain's clock starts there: a task's start at 0 means long ago
-QUANTUM = 50  # 5 ms: events within it form one batch
-HOP = 10  # 1 ms one way to a node
-BREAK_DETECTION = 5_000  # 0.5 s until a broken stream is noticed
+EPOCH = 10**9  # the Brain's time at the start, not 0: a task's started_at of 0 means long ago
+BATCH_WINDOW = 50  # 5 ms: events within it form one batch
+NETWORK_DELAY = 10  # 1 ms one way to a node
+DISCONNECT_DETECTION = 5_000  # 0.5 s until the peers notice a broken stream
 CHECK_PERIOD, SAMPLE_PERIOD = 2_000, 10_000  # 0.2 s between checks of the rules, 1 s between samples
-FIRST_TABLE_NODES = 6  # in a proxy's table before the assigner's first, drawn at random
+FIRST_TABLE_NODES = 6  # nodes in a proxy's initial table, drawn at random
 PROGRESS_STEPS = 100
-SEEDS_PER_SIMULATION = 1_000  # the Brain's seeds: one for each of its lives
+SEEDS_PER_SIMULATION = 1_000  # seeds of the Brain, one for each incarnation of the assigner
 
 
 class ListedState(NamedTuple):
-    """A node's state in the task list, and when it started; None: before the simulation."""
+    """A node's state in the task list. started_at: None if before the simulation."""
 
     state: str
     started_at: int | None
 
 
 class Simulation:
-    """policy: "brain", or a baseline: "even" or "least" (see baselines). record(now, events, orders) is
-    called with each batch of the Brain's."""
+    """policy: "brain", or a baseline: "even" or "least" (see baselines). record(now, events, orders): called
+    with each batch of the Brain."""
 
     def __init__(self, script, seed=None, policy="brain", record=None):
         self.script, self.policy, self.record = script, policy, record
         self.seed = script.rehearsal.seed if seed is None else seed
-        self.scheduler, self.length = Scheduler(self.seed), tenths(script.rehearsal.length)
+        self.scheduler, self.length = Scheduler(self.seed), tenths_of_ms(script.rehearsal.length)
         self.delays = script.delays
-        self.rules = RuleChecker(self.scheduler, self.delays, judged=policy == "brain")
+        self.rules = RuleChecker(self.scheduler, self.delays, enabled=policy == "brain")
         self.result = Result(script.path.rsplit("/", 1)[-1], self.seed, policy)
         self.result.troubles = [
             [t.name, t.kind, t.start, t.end or script.rehearsal.length] for t in script.troubles
         ]
-        self.brain, self.life, self.pending_events, self.batch_scheduled = None, 0, [], False
-        self.list_arrives_at, self.probes, self.seen_states = 0, 0, {}  # seen: as the assigner heard them
+        self.brain, self.incarnation, self.pending_events, self.batch_scheduled = None, 0, [], False
+        self.last_list_arrival, self.probes, self.states_at_assigner = 0, 0, {}
         self.add_nodes()
         self.add_proxies()
         delays = self.delays
         self.channel = Channel(
-            self.scheduler, self.proxies, delays.lines, delays.head, delays.channel, self.applied
+            self.scheduler, self.proxies, delays.lines, delays.head, delays.channel, self.on_applied
         )
-        self.load = LoadGenerator(
+        self.load_generator = LoadGenerator(
             self.scheduler, script.clients, script.routes, self.proxies, self.length, self.result
         )
-        self.faults = FaultInjector(self)
+        self.fault_injector = FaultInjector(self)
 
     def add_nodes(self):
-        """The script's nodes."""
+        """Adds the script's nodes."""
         kinds = {kind.name: kind for kind in self.script.kinds}
-        self.groups, self.nodes, self.listed = {}, {}, {}
-        for name, group in self.script.names():
+        self.groups, self.nodes, self.listed_states = {}, {}, {}
+        for name, group in self.script.node_names():
             self.add_node(name, kinds[group.kind], group)
 
     def add_node(self, name, kind, group, started_at=None):
-        """A node joins the fleet; its list entry follows by `publish_state`."""
+        """Adds a node. The assigner learns of it by `publish_state`."""
         self.nodes[name] = Node(self.scheduler, name, kind, group.zone, started_at, self.rules)
         self.groups[name] = group
-        self.listed[name] = ListedState("ready", started_at)
+        self.listed_states[name] = ListedState("ready", started_at)
 
     def add_proxies(self):
-        """The script's proxies."""
+        """Adds the script's proxies."""
         make_policy = POLICIES[self.policy]
         policy = make_policy(self) if make_policy else None
         self.proxies = {}
@@ -83,14 +83,14 @@
                     zone.name,
                     self.nodes,
                     self.delays,
-                    self.settled,
+                    self.on_try_ended,
                     self.rules,
                     policy,
                 )
 
-    def settled(self, call, outcome):
-        """A client's try has ended."""
-        self.load.settled(call, outcome)
+    def on_try_ended(self, call, outcome):
+        """Passes the end of a client's try to the load generator."""
+        self.load_generator.on_try_ended(call, outcome)
 
     # The assigner
 
@@ -98,15 +98,15 @@
         """The Brain's terms."""
         delays, kinds = self.delays, self.script.kinds
         return gp.Terms(
-            routes=tuple(gp.Route(r.importance, tenths(r.slo)) for r in self.script.routes),
+            routes=tuple(gp.Route(r.importance, tenths_of_ms(r.slo)) for r in self.script.routes),
             list_mode="push",
             must_ask_in=100_000,
             probes_allowed=True,
-            warm_after=tenths(max(k.warm_after for k in kinds)),
+            warm_after=tenths_of_ms(max(k.warm_after for k in kinds)),
             start_share=min(k.start_share for k in kinds),
             fall_multiple=delays.fall_multiple,
             gone_binds=True,
-            report_period=tenths(delays.period),
+            report_period=tenths_of_ms(delays.period),
             channel_lines=delays.lines,
             queue_limit=delays.queue_limit,
             head_lines=delays.head,
@@ -119,33 +119,33 @@
         )
 
     def start_assigner(self):
-        """The assigner starts, with the list as it was last published."""
-        self.life += 1
-        self.brain = Brain(self.terms(), self.seed * SEEDS_PER_SIMULATION + self.life)
+        """Starts the assigner with the task list as last published."""
+        self.incarnation += 1
+        self.brain = Brain(self.terms(), self.seed * SEEDS_PER_SIMULATION + self.incarnation)
         self.pending_events = []
-        lines = tuple(self.task_line(name) for name in self.listed)
-        for name, listed in self.listed.items():
-            self.rules.list_state(name, listed.state)
-        self.publish(gp.ListHeard("stale", lines))
+        lines = tuple(self.task_line(name) for name in self.listed_states)
+        for name, listed in self.listed_states.items():
+            self.rules.record_list_state(name, listed.state)
+        self.queue_event(gp.ListHeard("stale", lines))
 
     def kill_assigner(self):
-        """The assigner dies with its channel, tables and timers; proxies keep what they hold."""
+        """Kills the assigner with its channel, tables and timers; proxies keep their tables."""
         self.brain = None
         self.channel.reset()
         for number in self.proxies:
             self.break_stream(number)
 
-    def publish(self, event, life=None):
-        """Queues an event for the Brain, unless it belongs to an earlier life of the assigner."""
-        if self.brain is None or life not in (None, self.life):
+    def queue_event(self, event, incarnation=None):
+        """Queues an event for the Brain, unless it belongs to an earlier incarnation of the assigner."""
+        if self.brain is None or incarnation not in (None, self.incarnation):
             return
         self.pending_events.append(event)
         if not self.batch_scheduled:
             self.batch_scheduled = True
-            self.scheduler.after(QUANTUM, self.run_batch)
+            self.scheduler.call_later(BATCH_WINDOW, self.run_batch)
 
     def run_batch(self):
-        """Hands the queued events to the Brain and carries out its orders."""
+        """Passes the queued events to the Brain and executes its orders."""
         self.batch_scheduled = False
         if self.brain is None:
             return
@@ -157,7 +157,9 @@
         for order in orders:
             match order:
                 case gp.Timer():
-                    self.scheduler.at(order.at - EPOCH, self.publish, gp.TimerDue(order.key), self.life)
+                    self.scheduler.call_at(
+                        order.at - EPOCH, self.queue_event, gp.TimerDue(order.key), self.incarnation
+                    )
                 case gp.Note():
                     self.result.log.append((now, order.text))
                 case gp.Probe():
@@ -170,153 +172,165 @@
         if reply:
             self.channel.send(reply)
 
-    def applied(self, number, mark, elapsed):
-        """A proxy has applied a seal."""
-        self.scheduler.after(HOP, self.publish, gp.Applied(number, mark, elapsed), self.life)
+    def on_applied(self, number, mark, elapsed):
+        """Reports to the Brain that a proxy has applied a seal."""
+        self.scheduler.call_later(
+            NETWORK_DELAY, self.queue_event, gp.Applied(number, mark, elapsed), self.incarnation
+        )
 
     def probe(self, order):
-        """A probe of a node, answered as its faults let it."""
-        node, began, life = self.nodes[order.task], self.scheduler.now, self.life
+        """Probes a node; the outcome depends on its faults."""
+        node, sent_at, incarnation = self.nodes[order.task], self.scheduler.now, self.incarnation
         self.probes += 1
 
-        def answer(outcome, after):
-            load = {"in_hand": float(node.held())} if outcome == "ok" else {}
-            elapsed = self.scheduler.now + after - began
+        def answer(outcome, delay):
+            load = {"in_hand": float(node.calls_in_hand())} if outcome == "ok" else {}
+            elapsed = self.scheduler.now + delay - sent_at
             event = gp.ProbeAnswered(order.task, elapsed, outcome, load)
-            self.scheduler.after(after, self.publish, event, life)
+            self.scheduler.call_later(delay, self.queue_event, event, incarnation)
 
         if not node.up:
-            answer("unreachable", 2 * HOP if not node.fallen else order.wait)
+            answer("unreachable", 2 * NETWORK_DELAY if not node.failed_cold else order.wait)
         elif node.silent or node.paused:
             answer("timeout", order.wait)
         elif node.errors and node.random.random() < max(node.errors.values()):
-            answer("error", 2 * HOP)
+            answer("error", 2 * NETWORK_DELAY)
         else:
-            answer("ok", 2 * HOP)
+            answer("ok", 2 * NETWORK_DELAY)
 
     # The task list
 
     def task_line(self, name, state=None):
-        """A node's entry, in its listed state or another."""
-        listed, group = self.listed[name], self.groups[name]
+        """A node's entry of the task list, in its listed state or another."""
+        listed, group = self.listed_states[name], self.groups[name]
         started_at = 0 if listed.started_at is None else EPOCH + listed.started_at
         return gp.TaskLine(name, group.zone, 0, state or listed.state, 1.0, started_at, group.kind)
 
     def publish_state(self, name, state, started_at=None):
-        """The list learns of a change, late, in order."""
-        started_at = started_at if started_at is not None else self.listed[name].started_at
-        self.listed[name] = ListedState(state, started_at)
+        """Changes a node's state in the task list and delivers the change."""
+        started_at = started_at if started_at is not None else self.listed_states[name].started_at
+        self.listed_states[name] = ListedState(state, started_at)
         event = gp.ListHeard("changes", (self.task_line(name, state),))
         self.deliver_list(event, [(name, state)])
 
-    def publish_whole_list(self, without=()):
-        """The whole list, perhaps a wrong one that lacks some nodes."""
-        names = [k for k, listed in self.listed.items() if listed.state != "gone" and k not in without]
-        states = [(k, "gone" if k in without else listed.state) for k, listed in self.listed.items()]
+    def publish_full_list(self, without=()):
+        """Delivers the full list; without: names that it wrongly omits."""
+        names = [k for k, listed in self.listed_states.items() if listed.state != "gone" and k not in without]
+        states = [(k, "gone" if k in without else listed.state) for k, listed in self.listed_states.items()]
         self.deliver_list(gp.ListHeard("full", tuple(self.task_line(k) for k in names)), states)
 
     def deliver_list(self, event, states):
-        """Delivers a list event to the assigner, late, in order."""
-        late = tenths(self.delays.list) + tenths(sum(self.faults.list_late.values()))
-        self.list_arrives_at = max(self.list_arrives_at, self.scheduler.now + late)
+        """Delivers a list event to the assigner after the list's delay, in order."""
+        delay = tenths_of_ms(self.delays.list) + tenths_of_ms(sum(self.fault_injector.list_delays.values()))
+        self.last_list_arrival = max(self.last_list_arrival, self.scheduler.now + delay)
 
-        def arrive():
+        def deliver():
             for name, state in states:
-                self.rules.list_state(name, state)
-                self.seen_states[name] = state
-            self.publish(event)
+                self.rules.record_list_state(name, state)
+                self.states_at_assigner[name] = state
+            self.queue_event(event)
 
-        self.scheduler.at(self.list_arrives_at, arrive)
+        self.scheduler.call_at(self.last_list_arrival, deliver)
 
     # Proxies and their streams
 
     def join(self, number):
-        """A proxy's stream is up."""
+        """Joins a proxy: its stream is up."""
         proxy = self.proxies[number]
         if self.brain is None or proxy.joined:
             return
         proxy.joined, proxy.joined_at = True, self.scheduler.now
-        rate = self.script.clients.rate * self.load.proxy_shares[number]
-        self.publish(gp.ProxyJoined(number, rate, not proxy.ordered, proxy.zone))
+        rate = self.script.clients.rate * self.load_generator.proxy_shares[number]
+        self.queue_event(gp.ProxyJoined(number, rate, not proxy.has_table, proxy.zone))
 
     def break_stream(self, number):
-        """A proxy's stream breaks; it keeps what it holds, and connects again."""
+        """Breaks a proxy's stream: the proxy keeps its table and reconnects."""
         proxy = self.proxies[number]
         if not proxy.joined:
             return
         proxy.joined = False
-        self.channel.leave(number)
-        self.scheduler.after(BREAK_DETECTION, self.publish, gp.ProxyLeft(number), self.life)
+        self.channel.disconnect(number)
+        self.scheduler.call_later(
+            DISCONNECT_DETECTION, self.queue_event, gp.ProxyLeft(number), self.incarnation
+        )
         self.schedule_reconnect(number)
 
     def schedule_reconnect(self, number):
-        """A proxy will connect again, with jitter."""
+        """Schedules a proxy's reconnection, with jitter."""
         jitter = self.proxies[number].random.uniform(0.5, 1.5)
-        self.scheduler.after(BREAK_DETECTION + tenths(self.delays.redial * jitter), self.reconnect, number)
+        self.scheduler.call_later(
+            DISCONNECT_DETECTION + tenths_of_ms(self.delays.redial * jitter), self.reconnect, number
+        )
 
     def reconnect(self, number):
-        """A proxy connects, again later while there is no assigner."""
+        """Reconnects a proxy, or tries later while no assigner runs."""
         if self.brain is None:
             return self.schedule_reconnect(number)
         return self.join(number)
 
-    def report(self):
-        """The collectors' sums and the proxies' counts of the last period, delivered late."""
-        period, pairs, events = tenths(self.delays.period), {}, []
+    def send_reports(self):
+        """Delivers the sums per task and zone and the proxies' route counts of the last period, after the
+        reports' delay."""
+        period, entries, events = tenths_of_ms(self.delays.period), {}, []
         for number, proxy in self.proxies.items():
-            sums, counts = proxy.take_report()
+            try_sums, route_counts = proxy.take_report()
             if not proxy.joined:
                 continue
-            for name, node_sums in sums.items():
-                pair = pairs.setdefault((name, proxy.zone), [0, 0, 0.0, 0.0])
-                pair[0] += node_sums.tries
-                pair[1] += node_sums.failures
-                pair[2] += node_sums.mean() * (node_sums.tries - node_sums.failures)
-                pair[3] = proxy.loads.get(name, pair[3])
+            for name, node_sums in try_sums.items():
+                entry = entries.setdefault((name, proxy.zone), [0, 0, 0.0, 0.0])
+                entry[0] += node_sums.tries
+                entry[1] += node_sums.failures
+                entry[2] += node_sums.mean() * (node_sums.tries - node_sums.failures)
+                entry[3] = proxy.reported_loads.get(name, entry[3])
             events += [
                 gp.RouteSums(number, route, count.calls, count.unanswered, period)
-                for route, count in counts.items()
+                for route, count in route_counts.items()
                 if count.calls
             ]
-        for (name, zone), (tries, failures, total, held) in pairs.items():
+        for (name, zone), (tries, failures, total, calls_in_hand) in entries.items():
             mean = total / (tries - failures) if tries > failures else 0.0
-            events.append(gp.TaskSums(name, zone, tries, failures, mean, period, {"in_hand": float(held)}))
-        late = tenths(self.delays.reports) + tenths(sum(self.faults.reports_late.values()))
+            events.append(
+                gp.TaskSums(name, zone, tries, failures, mean, period, {"in_hand": float(calls_in_hand)})
+            )
+        delay = tenths_of_ms(self.delays.reports) + tenths_of_ms(
+            sum(self.fault_injector.report_delays.values())
+        )
         for event in events:
-            self.scheduler.after(late, self.publish, event, self.life)
+            self.scheduler.call_later(delay, self.queue_event, event, self.incarnation)
         if self.scheduler.now < self.length:
-            self.scheduler.after(period, self.report)
+            self.scheduler.call_later(period, self.send_reports)
 
     # The run
 
-    def check(self):
+    def check_rules(self):
         """Checks the rules, and takes a sample each second."""
         now = self.scheduler.now
         ready = any(
-            self.rules.closed_at.get(k) is None and self.nodes[k].warmth() >= 1 for k in self.seen_states
+            self.rules.not_ready_since.get(k) is None and self.nodes[k].speed_fraction() >= 1
+            for k in self.states_at_assigner
         )
         self.rules.check(self.proxies, self.channel.queued_lines(), ready)
         if now % SAMPLE_PERIOD == 0:
             self.sample(now)
         if now < self.length:
-            self.scheduler.after(CHECK_PERIOD, self.check)
+            self.scheduler.call_later(CHECK_PERIOD, self.check_rules)
 
     def sample(self, now):
-        """Keeps what the plots show."""
+        """Adds a sample of rate, channel queue, weights and calls in hand, for the plots."""
         weights = {k: w for table in self.brain.tables for k, w in table.laid.items()} if self.brain else {}
         shown = {
-            k: [round(weights.get(k, 0.0), 3), n.held()]
+            k: [round(weights.get(k, 0.0), 3), n.calls_in_hand()]
             for k, n in self.nodes.items()
             if n.up or k in weights
         }
         queued = round(self.channel.queued_lines(), 1)
-        rate = round(self.load.rate(), 3)
+        rate = round(self.load_generator.rate(), 3)
         self.result.samples.append([now / TENTHS_OF_MS_PER_SECOND, rate, queued, shown])
 
     def run(self, progress=None):
-        """Runs the simulation; returns its Result. progress(part) is called now and then."""
+        """Runs the simulation; returns its Result. progress(fraction): called at each step of the way."""
         self.prepare()
-        last = self.length + max(tenths(r.limit) for r in self.script.routes) + 10
+        last = self.length + max(tenths_of_ms(r.limit) for r in self.script.routes) + 10
         for k in range(1, PROGRESS_STEPS + 1):
             self.scheduler.run(last * k // PROGRESS_STEPS)
             if progress:
@@ -324,34 +338,34 @@
         return self.finish()
 
     def prepare(self):
-        """Gives proxies their first tables, starts the assigner and schedules what recurs."""
-        self.seen_states = {k: "ready" for k in self.listed}
+        """Sets the proxies' initial tables, starts the assigner and schedules the recurring work."""
+        self.states_at_assigner = {k: "ready" for k in self.listed_states}
         for proxy in self.proxies.values():
             names = [k for k, n in self.nodes.items() if n.zone == proxy.zone]
             names = names if len(names) >= 3 else list(self.nodes)
             drawn = proxy.random.permutation(len(names))[:FIRST_TABLE_NODES]
-            proxy.fill({names[k]: 1.0 for k in sorted(drawn)})
+            proxy.replace_lines({names[k]: 1.0 for k in sorted(drawn)})
         if self.policy == "brain":
             self.start_assigner()
             for number in self.proxies:
                 self.join(number)
-        self.faults.schedule()
-        self.scheduler.after(0, self.load.arrive)
-        self.scheduler.after(0, self.check)
-        self.scheduler.after(0, self.report)
+        self.fault_injector.schedule()
+        self.scheduler.call_later(0, self.load_generator.next_call)
+        self.scheduler.call_later(0, self.check_rules)
+        self.scheduler.call_later(0, self.send_reports)
 
     def finish(self):
-        """The completed Result."""
+        """Completes the Result."""
         result = self.result
         result.violations = self.rules.violations
         result.counts = {
-            "calls": self.load.calls,
-            "events": self.scheduler.executed,
+            "calls": self.load_generator.calls,
+            "events": self.scheduler.executed_events,
             "probes": self.probes,
             "lines": round(self.channel.lines),
             "queue_most": round(self.channel.longest_queue),
-            "unsettled": len(self.load.pending),
+            "unsettled": len(self.load_generator.pending),
             "work": {k: round(n.work_done, 3) for k, n in self.nodes.items()},
-            "begun": {k: n.executed for k, n in self.nodes.items()},
+            "begun": {k: n.started_jobs for k, n in self.nodes.items()},
         }
         return result
--- a/tests/test_rehearsal.py
+++ b/tests/test_rehearsal.py
@@ -1,4 +1,4 @@
-"""Rehearsals: the model by what is known of queues, days by their bytes, scripts by their faults."""
+"""Rehearsals: the model against queueing theory, determinism, troubles, rules, scripts and commands."""
 
 import hashlib
 import math
@@ -10,7 +10,7 @@
 from helper import matches
 
 from garnetpaddle import interface as gp
-from garnetpaddle.operator import Faulty
+from garnetpaddle.operator import InvalidFile
 from garnetpaddle.rehearsal import Simulation, events, read
 from garnetpaddle.rehearsal.compare import differences, first_divergence
 from garnetpaddle.rehearsal.model import Call, Node, Proxy, Scheduler
@@ -18,7 +18,7 @@
 from garnetpaddle.rehearsal.rule_checker import RuleChecker
 from garnetpaddle.rehearsal.script import Delays, Kind
 
-FLEET = """
+BASE_SCRIPT = """
 rehearsal {
   length = 20
   seed   = 3
@@ -54,25 +54,25 @@
 """
 
 
-def script(tmp_path, text="", base=FLEET):
+def write_script(tmp_path, text="", base=BASE_SCRIPT):
     (tmp_path / "base.hcl").write_text(base)
-    path = tmp_path / "day.hcl"
+    path = tmp_path / "script.hcl"
     path.write_text(text if "rehearsal {" in text else 'rehearsal { include = "base.hcl" }\n' + text)
     return read(str(path))
 
 
-def trouble(name, kind, start, end, **how):
-    lines = "".join(f"  {k} = {v}\n" for k, v in how.items())
+def trouble_block(name, kind, start, end, **options):
+    lines = "".join(f"  {k} = {v}\n" for k, v in options.items())
     return f'trouble "{name}" {{\n  kind = "{kind}"\n  start = {start}\n  end = {end}\n{lines}}}\n'
 
 
-# The model against what is known of queues
+# The model against queueing theory
 
 
 @pytest.mark.parametrize("cores, load", [(1, 0.6), (3, 0.8), (8, 0.8)])
-def test_waits_are_those_of_erlang(cores, load, tmp_path):
-    """M/M/c: calls by chance, work by chance, first come first served. Mean wait by Erlang's formula, at a
-    fixed seed; the tolerance is of so many calls."""
+def test_mean_wait_matches_erlang_c(cores, load, tmp_path):
+    """Simulates an M/M/c queue with a fixed seed and compares its mean wait with the Erlang C formula. The
+    tolerance allows for the sampling error of this number of calls."""
     work, kind = 0.1, f'kind "box" {{\n  cores = {cores}\n  queue = 100000\n  handshake = 0\n}}\n'
     rate = load * cores / work
     base = f"""
@@ -95,8 +95,8 @@
 }}
 clients {{ rate = {rate} }}
 """
-    day = Simulation(script(tmp_path, base=base), policy="even")
-    result = day.run()
+    simulation = Simulation(write_script(tmp_path, base=base), policy="even")
+    result = simulation.run()
     offered = load * cores
     erlang = offered**cores / math.factorial(cores) / (1 - load)
     waits = erlang / (sum(offered**k / math.factorial(k) for k in range(cores)) + erlang)
@@ -104,60 +104,60 @@
     mean = result.latencies.sum / result.latencies.count / 10_000
     assert result.outcomes == {"ok": result.counts["calls"]} and result.counts["calls"] > 35_000
     assert abs(mean - expected) < 0.08 * expected, (mean, expected)
-    # Little's law and the work: what was begun was ended, and cores did what calls brought.
+    # Every call was begun once, and the cores' utilisation matches the offered load.
     assert result.counts["begun"]["n-1"] == result.counts["calls"]
-    busy = result.counts["work"]["n-1"] / (cores * day.length / 10_000)
+    busy = result.counts["work"]["n-1"] / (cores * simulation.length / 10_000)
     assert abs(busy - load) < 0.03
 
 
 def test_no_call_is_lost_or_counted_twice(tmp_path):
     text = (
-        trouble("s", "silent", 3, 9, share=0.4)
-        + trouble("c", "crash", 4, 8, nodes='["near-1"]')
-        + trouble("e", "errors", 5, 12, nodes='["far"]', amount=0.5)
-        + trouble("r", "rate", 6, 9, amount=3)
-        + trouble("k", "killed", 10, 12)
+        trouble_block("s", "silent", 3, 9, share=0.4)
+        + trouble_block("c", "crash", 4, 8, nodes='["near-1"]')
+        + trouble_block("e", "errors", 5, 12, nodes='["far"]', amount=0.5)
+        + trouble_block("r", "rate", 6, 9, amount=3)
+        + trouble_block("k", "killed", 10, 12)
     )
     for policy in ("brain", "even", "least"):
-        result = Simulation(script(tmp_path, text), policy=policy).run()
+        result = Simulation(write_script(tmp_path, text), policy=policy).run()
         assert result.counts["unsettled"] == 0 and sum(result.outcomes.values()) == result.counts["calls"]
         assert len(result.outcomes) > 1 and 0 < result.service() < 1
 
 
-# The same day again
+# Determinism
 
 
-def test_a_day_is_the_same_bytes_in_any_process(tmp_path):
-    script(
+def test_results_are_byte_identical_in_any_process(tmp_path):
+    write_script(
         tmp_path,
-        trouble("s", "silent", 3, 9, share=0.4)
-        + trouble("b", "streams", 5, 0, share=0.5)
-        + trouble("d", "drain", 4, 8, nodes='["far-2"]'),
+        trouble_block("s", "silent", 3, 9, share=0.4)
+        + trouble_block("b", "streams", 5, 0, share=0.5)
+        + trouble_block("d", "drain", 4, 8, nodes='["far-2"]'),
     )
     code = (
         "import sys, hashlib; from garnetpaddle.rehearsal import Simulation, read; "
         "print(hashlib.sha256(Simulation(read(sys.argv[1])).run().to_json()).hexdigest())"
     )
-    command = [sys.executable, "-c", code, str(tmp_path / "day.hcl")]
-    said = {
+    command = [sys.executable, "-c", code, str(tmp_path / "script.hcl")]
+    digests = {
         subprocess.run(
             command, capture_output=True, text=True, check=True, env=os.environ | {"PYTHONHASHSEED": seed}
         ).stdout
         for seed in "017"
     }
-    here = Simulation(read(str(tmp_path / "day.hcl"))).run().to_json()
-    assert said == {hashlib.sha256(here).hexdigest() + "\n"}
-    assert Simulation(read(str(tmp_path / "day.hcl")), seed=4).run().to_json() != here
+    expected = Simulation(read(str(tmp_path / "script.hcl"))).run().to_json()
+    assert digests == {hashlib.sha256(expected).hexdigest() + "\n"}
+    assert Simulation(read(str(tmp_path / "script.hcl")), seed=4).run().to_json() != expected
 
 
-def test_who_else_takes_part_changes_no_ones_chance(tmp_path):
+def test_more_nodes_do_not_change_other_random_streams(tmp_path):
     more = 'nodes "more" {\n  kind = "box"\n  zone = "b"\n  count = 2\n}\n'
-    days = [Simulation(script(tmp_path, text)) for text in ("", more)]
-    results = [day.run() for day in days]
+    simulations = [Simulation(write_script(tmp_path, text)) for text in ("", more)]
+    results = [simulation.run() for simulation in simulations]
     assert results[0].counts["calls"] == results[1].counts["calls"]
     assert [a for a, _ in results[0].routes.values()] == [a for a, _ in results[1].routes.values()]
-    draws = [day.scheduler.random_stream("node near-1").random() for day in days]
-    assert draws[0] == draws[1] != days[0].scheduler.random_stream("node near-2").random()
+    draws = [simulation.scheduler.random_stream("node near-1").random() for simulation in simulations]
+    assert draws[0] == draws[1] != simulations[0].scheduler.random_stream("node near-2").random()
 
 
 # Troubles
@@ -165,22 +165,22 @@
 
 def test_troubles_overlap_on_a_node_and_end_in_any_order(tmp_path):
     text = (
-        trouble("one", "slow", 2, 9, nodes='["near-1"]', amount=4)
-        + trouble("two", "slow", 4, 6, nodes='["near-1"]', amount=2)
-        + trouble("three", "pause", 5, 7, nodes='["near-1"]')
-        + trouble("four", "silent", 6, 8, nodes='["near"]')
-        + trouble("five", "crash", 7, 10, nodes='["near-1"]')
-        + trouble("six", "crash", 8, 12, nodes='["near-1"]')
-        + trouble("seven", "errors", 11, 14, nodes='["near-1", "near-2"]', amount=1)
+        trouble_block("one", "slow", 2, 9, nodes='["near-1"]', amount=4)
+        + trouble_block("two", "slow", 4, 6, nodes='["near-1"]', amount=2)
+        + trouble_block("three", "pause", 5, 7, nodes='["near-1"]')
+        + trouble_block("four", "silent", 6, 8, nodes='["near"]')
+        + trouble_block("five", "crash", 7, 10, nodes='["near-1"]')
+        + trouble_block("six", "crash", 8, 12, nodes='["near-1"]')
+        + trouble_block("seven", "errors", 11, 14, nodes='["near-1", "near-2"]', amount=1)
     )
-    day = Simulation(script(tmp_path, text))
-    node, paces = day.nodes["near-1"], {}
+    simulation = Simulation(write_script(tmp_path, text))
+    node, speeds = simulation.nodes["near-1"], {}
     for at in (1, 3, 5, 6.5, 7.5, 11, 13):
-        day.scheduler.at(
-            int(at * 10_000) + 1, lambda at=at: paces.setdefault(at, (node.up, round(node.pace(), 3)))
+        simulation.scheduler.call_at(
+            int(at * 10_000) + 1, lambda at=at: speeds.setdefault(at, (node.up, round(node.core_speed(), 3)))
         )
-    day.run()
-    assert paces == {
+    simulation.run()
+    assert speeds == {
         1: (True, 1.0),
         3: (True, 0.25),
         5: (True, 0.0),
@@ -192,39 +192,41 @@
     assert not any((node.slow, node.paused, node.silent, node.errors)) and node.up
 
 
-def test_a_trouble_of_a_node_that_is_gone_strikes_nobody(tmp_path):
-    text = trouble("out", "drain", 2, 4, nodes='["near-1"]') + trouble(
+def test_a_trouble_does_not_affect_a_node_that_is_gone(tmp_path):
+    text = trouble_block("out", "drain", 2, 4, nodes='["near-1"]') + trouble_block(
         "late", "slow", 12, 14, nodes='["near-1"]', amount=5
     )
-    result = Simulation(script(tmp_path, text)).run()
+    result = Simulation(write_script(tmp_path, text)).run()
     assert [t for _, t in result.log if "late begins" in t] == ["-- late begins: slow at nobody"]
 
 
-def test_a_release_replaces_each_node_by_a_cold_one(tmp_path):
-    day = Simulation(
-        script(tmp_path, trouble("release", "release", 2, 12, nodes='["near", "far"]', amount=0.34))
+def test_a_release_replaces_each_node(tmp_path):
+    simulation = Simulation(
+        write_script(
+            tmp_path, trouble_block("release", "release", 2, 12, nodes='["near", "far"]', amount=0.34)
+        )
     )
-    result = day.run()
+    result = simulation.run()
     assert not result.violations
-    assert [k for k, n in day.nodes.items() if n.up] == [
+    assert [k for k, n in simulation.nodes.items() if n.up] == [
         f"{group}-{k}+" for group in ("near", "far") for k in (1, 2, 3)
     ]
 
 
-def test_what_the_assigner_sees_comes_late_and_in_order(tmp_path):
+def test_list_changes_arrive_late_and_in_order(tmp_path):
     text = (
-        trouble("late", "list_late", 0, 10, amount=4)
-        + trouble("a", "drain", 1, 2, nodes='["near-1"]')
-        + trouble("b", "drain", 9.9, 15, nodes='["near-2"]')
+        trouble_block("late", "list_late", 0, 10, amount=4)
+        + trouble_block("a", "drain", 1, 2, nodes='["near-1"]')
+        + trouble_block("b", "drain", 9.9, 15, nodes='["near-2"]')
     )
-    day = Simulation(script(tmp_path, text))
-    heard, told = [], day.rules.list_state
-    day.rules.list_state = lambda name, state: (
-        heard.append((day.scheduler.now / 10_000, name, state)),
-        told(name, state),
+    simulation = Simulation(write_script(tmp_path, text))
+    received, record = [], simulation.rules.record_list_state
+    simulation.rules.record_list_state = lambda name, state: (
+        received.append((simulation.scheduler.now / 10_000, name, state)),
+        record(name, state),
     )
-    day.run()
-    assert [x for x in heard if x[0] and x[2] != "ready"] == [
+    simulation.run()
+    assert [x for x in received if x[0] and x[2] != "ready"] == [
         (6.0, "near-1", "draining"),
         (7.0, "near-1", "gone"),
         (14.9, "near-2", "draining"),
@@ -235,31 +237,31 @@
 # Nodes and proxies
 
 
-class Seen:
-    """Rules that only note."""
+class RecordingRules:
+    """Rules that only record what they are told."""
 
     cold_window, fall_multiple = 30_000, 3.0
 
     def __init__(self):
-        self.fallen, self.begun = [], []
+        self.cold_overloads, self.executions = [], []
 
-    def cold_overload(self, name):
-        self.fallen.append(name)
+    def record_cold_overload(self, name):
+        self.cold_overloads.append(name)
 
-    def work_began(self, call, name):
-        self.begun.append(name)
+    def record_execution(self, call, name):
+        self.executions.append(name)
 
-    def sent(self, proxy, name):
+    def record_send(self, proxy, name):
         pass
 
 
-def called(n, until=50_000, **how):
-    return Call(n, 0, how.pop("work", 1.0), 0, until, how.pop("mutating", False))
+def make_call(n, until=50_000, **options):
+    return Call(n, 0, options.pop("work", 1.0), 0, until, options.pop("mutating", False))
 
 
-def test_a_cold_node_bears_its_multiple_and_falls_beyond_it():
-    for sent, falls in ((3, False), (5, True)):
-        scheduler, rules = Scheduler(1), Seen()
+def test_a_cold_node_crashes_above_fall_multiple_times_its_capacity():
+    for calls, crashes in ((3, False), (5, True)):
+        scheduler, rules = Scheduler(1), RecordingRules()
         node = Node(
             scheduler,
             "n",
@@ -269,63 +271,65 @@
             rules,
         )
         outcomes = []
-        for k in range(sent):  # 2 cores x 0.25 x 3 s x 3 = 4.5 of work in the first 3 s
-            node.take(called(k, work=1.0), 0, outcomes.append)
-        assert (rules.fallen == ["n"]) == falls == (not node.up)
+        for k in range(calls):  # limit in the first 3 s: 2 cores x 0.25 x 3 s x 3 = 4.5 of work
+            node.submit(make_call(k, work=1.0), 0, outcomes.append)
+        assert (rules.cold_overloads == ["n"]) == crashes == (not node.up)
         scheduler.run(100_000)
         node.start()
-        assert node.up != falls
+        assert node.up != crashes
 
 
-def test_connections_and_the_waiting_room_are_bounded():
+def test_connections_and_queue_are_limited():
     scheduler = Scheduler(1)
     node = Node(scheduler, "n", Kind(name="k", cores=1, accept=2, queue=1, handshake=0.5), "a")
     outcomes = []
     for proxy in (1, 2, 3, 1):
-        node.take(
-            called(proxy),
+        node.submit(
+            make_call(proxy),
             proxy,
             lambda outcome, proxy=proxy: outcomes.append((scheduler.now, proxy, outcome)),
         )
     scheduler.run(200_000)
-    # The third has no connection, the second try of the first no room; a handshake is work.
+    # Proxy 3 exceeds the connection limit, the second try of proxy 1 the queue; handshakes cost work.
     assert outcomes == [(0, 3, "refused"), (0, 1, "refused"), (15_001, 1, "ok"), (30_002, 2, "ok")]
 
 
-def test_a_try_given_up_leaves_no_work_behind():
+def test_a_cancelled_try_does_no_further_work():
     scheduler = Scheduler(1)
     node = Node(scheduler, "n", Kind(name="k", cores=1, handshake=0.0), "a")
-    job = node.take(called(1, work=2.0), 1, lambda outcome: None)
-    node.take(called(2, work=1.0), 1, lambda outcome: None)
-    scheduler.at(5_000, node.cancel, job)
+    job = node.submit(make_call(1, work=2.0), 1, lambda outcome: None)
+    node.submit(make_call(2, work=1.0), 1, lambda outcome: None)
+    scheduler.call_at(5_000, node.cancel, job)
     scheduler.run(100_000)
-    assert node.held() == 0 and abs(node.work_done - 1.5) < 1e-3
+    assert node.calls_in_hand() == 0 and abs(node.work_done - 1.5) < 1e-3
 
 
-def proxied(nodes, **how):
-    scheduler, rules, ended = Scheduler(1), Seen(), []
-    made = {
+def proxy_with_nodes(options_by_node, **delays):
+    scheduler, rules, outcomes = Scheduler(1), RecordingRules(), []
+    nodes = {
         k: Node(scheduler, k, Kind(name="k", cores=8, handshake=0.0, **v), "a", None, rules)
-        for k, v in nodes.items()
+        for k, v in options_by_node.items()
     }
-    proxy = Proxy(scheduler, 0, "a", made, Delays(**how), lambda call, outcome: ended.append(outcome), rules)
-    proxy.fill(dict.fromkeys(made, 1.0))
-    return scheduler, proxy, made, ended, rules
+    proxy = Proxy(
+        scheduler, 0, "a", nodes, Delays(**delays), lambda call, outcome: outcomes.append(outcome), rules
+    )
+    proxy.replace_lines(dict.fromkeys(nodes, 1.0))
+    return scheduler, proxy, nodes, outcomes, rules
 
 
-def test_a_proxy_spreads_by_weight():
-    scheduler, proxy, nodes, ended, rules = proxied({"a": {}, "b": {}, "c": {}})
-    proxy.fill({"a": 1.0, "b": 2.0, "c": 0.5})
+def test_a_proxy_distributes_calls_by_weight():
+    scheduler, proxy, nodes, outcomes, rules = proxy_with_nodes({"a": {}, "b": {}, "c": {}})
+    proxy.replace_lines({"a": 1.0, "b": 2.0, "c": 0.5})
     for k in range(700):
-        proxy.call(called(k, work=0.0))
+        proxy.handle_call(make_call(k, work=0.0))
         scheduler.run(scheduler.now + 10)
-        parts = {k: rules.begun.count(k) for k in "abc"}
-        # Evenly all along, not only in the sum: each within two turns of its part.
-        due = {k: len(rules.begun) * w / 3.5 for k, w in (("a", 1), ("b", 2), ("c", 0.5))}
+        parts = {k: rules.executions.count(k) for k in "abc"}
+        # At each step, not only in total, each node is within two calls of its share.
+        due = {k: len(rules.executions) * w / 3.5 for k, w in (("a", 1), ("b", 2), ("c", 0.5))}
         assert all(abs(parts[k] - due[k]) <= 2 for k in "abc")
 
 
-def test_weights_change_within_a_turn_and_who_sat_out_does_not_catch_up():
+def test_round_robin_adapts_to_weights_without_catch_up_after_exclusion():
     lines, out = WeightedRoundRobin(Scheduler(1).random_stream("rota")), {}
     for k in "abc":
         lines.set(k, 1.0)
@@ -345,74 +349,74 @@
     assert lines.pick(out.get) is None and len(lines.heap) < 20
 
 
-def test_it_tries_again_once_where_the_first_try_never_ran():
-    scheduler, proxy, nodes, ended, rules = proxied({"a": {}, "b": {}})
+def test_a_proxy_retries_once_if_the_first_try_never_ran():
+    scheduler, proxy, nodes, outcomes, rules = proxy_with_nodes({"a": {}, "b": {}})
     nodes["a"].stop()
     for k in range(6):
-        proxy.call(called(k, work=0.1, mutating=True))
+        proxy.handle_call(make_call(k, work=0.1, mutating=True))
     scheduler.run(60_000)
-    assert ended == ["ok"] * 6 and rules.begun == ["b"] * 6
+    assert outcomes == ["ok"] * 6 and rules.executions == ["b"] * 6
     nodes["b"].stop()
-    proxy.call(called(9))
-    assert ended[-1] == "refused" and proxy.sums["a"].tries + proxy.sums["b"].tries > 8
+    proxy.handle_call(make_call(9))
+    assert outcomes[-1] == "refused" and proxy.try_sums["a"].tries + proxy.try_sums["b"].tries > 8
 
 
 @pytest.mark.parametrize(
-    "tries, trouble", [("none", "refused"), ("on proof", "failed"), ("on proof", "silent")]
+    "tries, fault", [("none", "refused"), ("on proof", "failed"), ("on proof", "silent")]
 )
-def test_it_does_not_try_again_otherwise(tries, trouble):
-    scheduler, proxy, nodes, ended, rules = proxied({"a": {}, "b": {}})
+def test_a_proxy_does_not_retry_otherwise(tries, fault):
+    scheduler, proxy, nodes, outcomes, rules = proxy_with_nodes({"a": {}, "b": {}})
     proxy.levels = {0: (1.0, tries)}
     for node in nodes.values():
-        if trouble == "refused":
+        if fault == "refused":
             node.up = False
-        elif trouble == "failed":
+        elif fault == "failed":
             node.errors["x"] = 1.0
         else:
             node.silent["x"] = True
-    proxy.call(called(1, mutating=True))
+    proxy.handle_call(make_call(1, mutating=True))
     scheduler.run(60_000)
-    assert ended == [{"silent": "late"}.get(trouble, trouble)]
-    assert sum(sums.tries for sums in proxy.sums.values()) == 1
+    assert outcomes == [{"silent": "late"}.get(fault, fault)]
+    assert sum(try_sums.tries for try_sums in proxy.try_sums.values()) == 1
 
 
-def test_it_keeps_away_after_a_run_of_failures_and_comes_back():
-    scheduler, proxy, nodes, ended, rules = proxied({"a": {}, "b": {}}, strikes=3, avoid=2.0)
+def test_a_proxy_avoids_a_node_after_consecutive_failures_for_a_while():
+    scheduler, proxy, nodes, outcomes, rules = proxy_with_nodes({"a": {}, "b": {}}, strikes=3, avoid=2.0)
     nodes["a"].errors["x"] = 1.0
     for k in range(20):
-        proxy.call(called(k, work=0.0))
+        proxy.handle_call(make_call(k, work=0.0))
         scheduler.run(scheduler.now + 10)
-    assert ended.count("failed") == 3
+    assert outcomes.count("failed") == 3
     scheduler.run(scheduler.now + 25_000)
     del nodes["a"].errors["x"]
     for k in range(4):
-        proxy.call(called(k, work=0.0))
+        proxy.handle_call(make_call(k, work=0.0))
         scheduler.run(scheduler.now + 10)
-    assert ended[-4:] == ["ok"] * 4 and "a" in rules.begun[-4:]
+    assert outcomes[-4:] == ["ok"] * 4 and "a" in rules.executions[-4:]
 
 
 # Rules
 
 
-def test_broken_rules_are_told_with_their_moment_and_the_last_orders():
+def test_violations_have_their_time_and_the_last_orders():
     scheduler = Scheduler(1)
     rules = RuleChecker(scheduler, Delays(grace=1.0, bare=1.0, queue_limit=50.0))
     proxy = Proxy(scheduler, 4, "a", {}, Delays(), None, rules)
     proxy.joined = True
     rules.orders.extend(["an order", "another"])
-    rules.list_state("n", "draining")
+    rules.record_list_state("n", "draining")
     scheduler.run(9_000)
-    rules.sent(proxy, "n")
+    rules.record_send(proxy, "n")
     assert not rules.violations
     scheduler.run(10_500)
-    rules.sent(proxy, "n")
-    call = called(7, mutating=True)
-    rules.work_began(call, "a")
-    rules.work_began(call, "b")
+    rules.record_send(proxy, "n")
+    call = make_call(7, mutating=True)
+    rules.record_execution(call, "a")
+    rules.record_execution(call, "b")
     rules.check({4: proxy}, 51.0, True)
     scheduler.run(21_000)
     rules.check({4: proxy}, 0.0, True)
-    rules.cold_overload("cold-1")
+    rules.record_cold_overload("cold-1")
     matches(
         "rehearsal_rules",
         [
@@ -422,71 +426,80 @@
     )
 
 
-def test_a_day_against_the_rules_is_found_out(tmp_path, monkeypatch):
-    """A Brain that is deaf to the list keeps sending to a node that drains."""
+def test_a_violation_by_the_brain_is_detected(tmp_path, monkeypatch):
+    """A Brain that ignores changes of the list keeps sending to a node that drains."""
     from garnetpaddle.brain import Brain
 
-    heard = Brain.heard_list
+    heard_list = Brain.heard_list
 
-    def deaf(self, now, event):
+    def ignore_changes(self, now, event):
         if event.form == "stale":
-            heard(self, now, event)
+            heard_list(self, now, event)
 
-    monkeypatch.setitem(Brain.READ, gp.ListHeard, deaf)
-    result = Simulation(script(tmp_path, trouble("d", "drain", 4, 15, nodes='["near-1"]'))).run()
+    monkeypatch.setitem(Brain.READ, gp.ListHeard, ignore_changes)
+    result = Simulation(write_script(tmp_path, trouble_block("d", "drain", 4, 15, nodes='["near-1"]'))).run()
     assert [b.rule for b in result.violations] == ["drain"] and result.violations[0].orders
 
 
 # Scripts
 
 
-FAULTY = {
+INVALID_SCRIPTS = {
     "nothing": "rehearsal {\n}\n",
-    "unknown": FLEET + 'nods "x" {\n}\nkind "box2" {\n  core = 2\n}\n',
-    "missing": FLEET + 'route "x" {\n  share = 1\n}\ntrouble "t" {\n  kind = "slow"\n}\n',
-    "types": FLEET + 'trouble "t" {\n  kind = "sloow"\n  start = 1\n}\nkind "k" {\n  cores = 0\n}\n',
-    "lost": FLEET
+    "unknown": BASE_SCRIPT + 'nods "x" {\n}\nkind "box2" {\n  core = 2\n}\n',
+    "missing": BASE_SCRIPT + 'route "x" {\n  share = 1\n}\ntrouble "t" {\n  kind = "slow"\n}\n',
+    "types": BASE_SCRIPT + 'trouble "t" {\n  kind = "sloow"\n  start = 1\n}\nkind "k" {\n  cores = 0\n}\n',
+    "lost": BASE_SCRIPT
     + 'nodes "x" {\n  kind = "bix"\n  zone = "c"\n}\n'
-    + trouble("t", "silent", 1, 2, nodes='["nears-1"]', zone='"c"'),
-    "times": FLEET + trouble("late", "silent", 30, 40, share=1) + trouble("back", "silent", 9, 8, share=1),
-    "nobody": FLEET + trouble("t", "silent", 1, 2) + trouble("u", "slow", 1, 2, share=0.1, amount=0.5),
-    "slo": FLEET.replace("slo   = 1\n", "slo   = 9\n", 1),
-    "twice": FLEET + 'zone "a" { proxies = 2 }\n',
+    + trouble_block("t", "silent", 1, 2, nodes='["nears-1"]', zone='"c"'),
+    "times": BASE_SCRIPT
+    + trouble_block("late", "silent", 30, 40, share=1)
+    + trouble_block("back", "silent", 9, 8, share=1),
+    "nobody": BASE_SCRIPT
+    + trouble_block("t", "silent", 1, 2)
+    + trouble_block("u", "slow", 1, 2, share=0.1, amount=0.5),
+    "slo": BASE_SCRIPT.replace("slo   = 1\n", "slo   = 9\n", 1),
+    "twice": BASE_SCRIPT + 'zone "a" { proxies = 2 }\n',
     "circle": 'rehearsal { include = "circle.hcl" }\n',
     "no_include": 'rehearsal { include = "nowhere.hcl" }\n',
 }
 
 
-def test_a_script_that_cannot_be_played_says_so_by_line(tmp_path):
+def test_diagnostics_of_invalid_scripts_name_the_line(tmp_path):
     trace = []
-    for name, text in FAULTY.items():
+    for name, text in INVALID_SCRIPTS.items():
         path = tmp_path / f"{name}.hcl"
         path.write_text(text)
-        with pytest.raises(Faulty) as caught:
+        with pytest.raises(InvalidFile) as caught:
             read(str(path))
-        trace += [f"{name}:", *(str(f).replace(f"{tmp_path}{os.sep}", "") for f in caught.value.faults)]
-    matches("rehearsal_faults", trace)
+        trace += [f"{name}:", *(str(f).replace(f"{tmp_path}{os.sep}", "") for f in caught.value.diagnostics)]
+    matches("rehearsal_diagnostics", trace)
 
 
-def test_what_a_script_leaves_open_comes_from_what_it_includes(tmp_path):
-    it = script(
+def test_fields_that_a_script_leaves_out_come_from_its_include(tmp_path):
+    script = write_script(
         tmp_path,
         'rehearsal {\n  include = "base.hcl"\n  length = 9\n}\nclients { again = 1 }\n'
         'kind "box" { cores = 5 }\n',
     )
-    assert (it.rehearsal.length, it.rehearsal.seed, it.clients.rate, it.clients.again) == (9, 3, 60, 1)
-    assert it.kinds[0].cores == 5 and len(it.names()) == 6
+    assert (script.rehearsal.length, script.rehearsal.seed, script.clients.rate, script.clients.again) == (
+        9,
+        3,
+        60,
+        1,
+    )
+    assert script.kinds[0].cores == 5 and len(script.node_names()) == 6
 
 
-def test_the_command_plays_and_leaves_whole_files(tmp_path):
-    script(tmp_path, trouble("d", "drain", 4, 15, nodes='["near-1"]'))
+def test_the_run_command_writes_complete_results(tmp_path):
+    write_script(tmp_path, trouble_block("d", "drain", 4, 15, nodes='["near-1"]'))
     command = [
         sys.executable,
         "-m",
         "garnetpaddle",
         "rehearse",
         "run",
-        str(tmp_path / "day.hcl"),
+        str(tmp_path / "script.hcl"),
         "--seeds",
         "2",
         "--policy",
@@ -497,72 +510,81 @@
         "--jobs",
         "2",
     ]
-    done = subprocess.run(command, capture_output=True, text=True, timeout=120)
-    assert done.returncode == 0 and len(done.stdout.splitlines()) == 2, done.stderr
-    assert sorted(x.name for x in (tmp_path / "out").iterdir()) == ["day-brain-3.json", "day-brain-4.json"]
-    here = Simulation(read(str(tmp_path / "day.hcl")), seed=4).run().to_json()
-    assert (tmp_path / "out" / "day-brain-4.json").read_bytes() == here
+    completed = subprocess.run(command, capture_output=True, text=True, timeout=120)
+    assert completed.returncode == 0 and len(completed.stdout.splitlines()) == 2, completed.stderr
+    assert sorted(x.name for x in (tmp_path / "out").iterdir()) == [
+        "script-brain-3.json",
+        "script-brain-4.json",
+    ]
+    expected = Simulation(read(str(tmp_path / "script.hcl")), seed=4).run().to_json()
+    assert (tmp_path / "out" / "script-brain-4.json").read_bytes() == expected
     (tmp_path / "bad.hcl").write_text("rehearsal {\n  length = -1\n}\n")
-    done = subprocess.run([*command[:4], "check", str(tmp_path / "bad.hcl")], capture_output=True, text=True)
-    assert done.returncode == 2 and "bad.hcl:2: rehearsal.length" in done.stderr
+    completed = subprocess.run(
+        [*command[:4], "check", str(tmp_path / "bad.hcl")], capture_output=True, text=True
+    )
+    assert completed.returncode == 2 and "bad.hcl:2: rehearsal.length" in completed.stderr
 
 
-# Comparing
+# Comparisons, plots and event logs
 
 
-def figures(service):
+def result_figures(service):
     return {"service": service, "worst_window": service, "worst_route": 1.0}
 
 
-def test_a_difference_is_told_from_chance_by_pairs():
-    a = {seed: figures(0.5 + seed / 10) for seed in range(4)}
-    b = {seed: figures(0.5 + seed / 10 + 0.02 + 0.001 * (seed % 2)) for seed in range(4)}
+def test_paired_differences_are_told_from_noise():
+    a = {seed: result_figures(0.5 + seed / 10) for seed in range(4)}
+    b = {seed: result_figures(0.5 + seed / 10 + 0.02 + 0.001 * (seed % 2)) for seed in range(4)}
     service, window, route = differences(a, b)
     assert service.verdict() == "more" and abs(service.mean - 0.0205) < 1e-9 and service.low > 0.019
     assert differences(b, a)[0].verdict() == "less" and route.verdict() == "same"
-    # Half of the pairs the one way, half the other.
-    c = {seed: figures(0.5 + seed / 10 + 0.02 * (-1) ** seed) for seed in range(4)}
+    # Half of the pairs differ in one direction, half in the other.
+    c = {seed: result_figures(0.5 + seed / 10 + 0.02 * (-1) ** seed) for seed in range(4)}
     assert differences(a, c)[0].verdict() == "noise"
     with pytest.raises(ValueError, match="two seeds"):
-        differences({1: figures(1)}, {1: figures(1), 2: figures(1)})
+        differences({1: result_figures(1)}, {1: result_figures(1), 2: result_figures(1)})
 
 
-def test_the_moment_at_which_two_days_part(tmp_path):
-    quiet = Simulation(script(tmp_path)).run().as_dict()
-    struck = Simulation(script(tmp_path, trouble("s", "slow", 7, 9, share=0.5, amount=3))).run().as_dict()
-    assert first_divergence(quiet, quiet) is None
-    at, ours, theirs = first_divergence(quiet, struck)
+def test_first_divergence_of_two_simulations(tmp_path):
+    without_trouble = Simulation(write_script(tmp_path)).run().as_dict()
+    with_trouble = (
+        Simulation(write_script(tmp_path, trouble_block("s", "slow", 7, 9, share=0.5, amount=3)))
+        .run()
+        .as_dict()
+    )
+    assert first_divergence(without_trouble, without_trouble) is None
+    at, ours, theirs = first_divergence(without_trouble, with_trouble)
     assert 7 <= at <= 8 and ours != theirs and "begins" in str(theirs)
 
 
-def test_a_day_is_drawn(tmp_path):
-    script(tmp_path, trouble("s", "slow", 7, 9, share=0.5, amount=3))
+def test_the_plot_command_writes_a_png(tmp_path):
+    write_script(tmp_path, trouble_block("s", "slow", 7, 9, share=0.5, amount=3))
     base = [sys.executable, "-m", "garnetpaddle", "rehearse"]
     subprocess.run(
-        [*base, "run", str(tmp_path / "day.hcl"), "--out", str(tmp_path / "out")],
+        [*base, "run", str(tmp_path / "script.hcl"), "--out", str(tmp_path / "out")],
         check=True,
         capture_output=True,
         timeout=120,
     )
-    days = sorted(map(str, (tmp_path / "out").iterdir()))
-    done = subprocess.run(
-        [*base, "plot", *days, "--to", str(tmp_path / "day.png")], capture_output=True, timeout=120
+    results = sorted(map(str, (tmp_path / "out").iterdir()))
+    completed = subprocess.run(
+        [*base, "plot", *results, "--to", str(tmp_path / "plot.png")], capture_output=True, timeout=120
     )
-    assert done.returncode == 0 and (tmp_path / "day.png").read_bytes().startswith(b"\x89PNG")
+    assert completed.returncode == 0 and (tmp_path / "plot.png").read_bytes().startswith(b"\x89PNG")
 
 
-def test_an_event_log_holds_each_batch_and_is_read_up_to_where_it_was_cut(tmp_path):
-    path, batches = tmp_path / "day.events.zst", []
+def test_an_event_log_has_every_batch_and_is_readable_up_to_a_cut(tmp_path):
+    path, batches = tmp_path / "run.events.zst", []
     writer = events.Writer(path)
 
     def record(*batch):
         writer(*batch)
         batches.append(batch)
 
-    text = trouble("d", "drain", 4, 15, nodes='["near-1"]')
-    recorded = Simulation(script(tmp_path, text), record=record).run().to_json()
+    text = trouble_block("d", "drain", 4, 15, nodes='["near-1"]')
+    recorded = Simulation(write_script(tmp_path, text), record=record).run().to_json()
     writer.close()
-    assert recorded == Simulation(script(tmp_path, text)).run().to_json()
+    assert recorded == Simulation(write_script(tmp_path, text)).run().to_json()
     whole = list(events.read(path))
     assert len(whole) > 100 and whole[0][0] == batches[0][0]
     assert [o for _, _, ordered in whole for o in ordered if o.startswith("SetLine")] == [
