--- a/examples/rehearsals/all-restart.hcl
+++ b/examples/rehearsals/all-restart.hcl
@@ -1,4 +1,4 @@
-# Every process restarts within a few seconds (a bad release, rolled back): cold nodes alone, then warm.
+# All processes restart within a few seconds (a bad release, rolled back): at first, all nodes are cold.
 rehearsal { include = "saturday.hcl" }
 clients { rate = 90 }
 
--- a/examples/rehearsals/assigner-killed.hcl
+++ b/examples/rehearsals/assigner-killed.hcl
@@ -1,4 +1,4 @@
-# The assigner is killed while a node is slow, and starts anew with reports that come late.
+# The assigner is killed while a node is slow, and restarts while reports arrive late.
 rehearsal { include = "saturday.hcl" }
 
 trouble "slow" {
--- a/examples/rehearsals/list-wrong.hcl
+++ b/examples/rehearsals/list-wrong.hcl
@@ -1,4 +1,4 @@
-# The list drops a third of the nodes that serve, then comes late for a while.
+# The task list omits a third of the nodes that serve; later its updates arrive late for a while.
 rehearsal { include = "saturday.hcl" }
 clients { rate = 110 }
 
--- a/examples/rehearsals/metastable.hcl
+++ b/examples/rehearsals/metastable.hcl
@@ -1,4 +1,4 @@
-# A short rush, and clients that come again: tries feed the jam, which stays after the rush has gone.
+# A short burst of traffic with client retries, which sustain the overload after the burst has ended.
 rehearsal {
   include = "saturday.hcl"
   length  = 80
--- a/examples/rehearsals/saturday.hcl
+++ b/examples/rehearsals/saturday.hcl
@@ -1,5 +1,5 @@
-# A Saturday in the season: three sites, three kinds of nodes, three routes. Nothing goes wrong here; the other
-# scripts include it. Figures are this project's own, chosen to keep cores some two thirds busy.
+# A busy Saturday without troubles, the base of the other scripts: three zones, kinds of nodes and routes.
+# The load keeps the cores about two thirds busy.
 rehearsal {
   length = 60
   seed   = 7
--- a/examples/rehearsals/silent-and-cold.hcl
+++ b/examples/rehearsals/silent-and-cold.hcl
@@ -1,4 +1,4 @@
-# A fifth of the nodes take calls and answer none, while others restart cold.
+# A fifth of the nodes accept calls and never answer, while others restart cold.
 rehearsal { include = "saturday.hcl" }
 
 trouble "a fifth falls silent" {
--- a/examples/rehearsals/stolen-cores.hcl
+++ b/examples/rehearsals/stolen-cores.hcl
@@ -1,4 +1,4 @@
-# Another program takes most of the machine of a third of the nodes; some stand still now and then.
+# Other programs take most of the CPU of a third of the nodes; some nodes pause now and then.
 rehearsal { include = "saturday.hcl" }
 
 trouble "neighbour" {
--- a/examples/rehearsals/streams-in-a-drain.hcl
+++ b/examples/rehearsals/streams-in-a-drain.hcl
@@ -1,4 +1,4 @@
-# The relay's streams break together while nodes drain.
+# Most streams of the relay break at once while nodes drain.
 rehearsal { include = "saturday.hcl" }
 
 trouble "two drain" {
--- a/examples/rehearsals/two-outages.hcl
+++ b/examples/rehearsals/two-outages.hcl
@@ -1,4 +1,4 @@
-# Two troubles overlap on the same nodes and end in the other order: slow machines that are then cut off.
+# Two troubles overlap on the same nodes and the later one ends first: some slow nodes stop answering.
 rehearsal { include = "saturday.hcl" }
 
 trouble "slow disks" {
--- a/examples/rehearsals/zone-lost.hcl
+++ b/examples/rehearsals/zone-lost.hcl
@@ -1,4 +1,4 @@
-# All nodes of one site die together and come back cold, one after the other.
+# All nodes of one zone crash together and restart cold.
 rehearsal { include = "saturday.hcl" }
 clients { rate = 110 }
 
--- a/garnetpaddle/book/__init__.py
+++ b/garnetpaddle/book/__init__.py
@@ -1,7 +1,7 @@
-"""The book: what stands by the orders given, and what is known of each task, as immutable snapshots.
+"""The book: immutable snapshots of the tables that the Brain has ordered and of the state of each task.
 
-A pure function of the Brain's events and orders: SnapshotBuilder.update(now, events, orders, addresses)
-returns a Snapshot, which a SnapshotPublisher hands to the front ends. None of these keeps a table."""
+They depend on the Brain's events and orders alone: SnapshotBuilder.update(now, events, orders, addresses)
+returns a Snapshot, which a SnapshotPublisher passes to the front ends. These keep no tables of their own."""
 
 from garnetpaddle.book.publisher import SnapshotPublisher
 from garnetpaddle.book.snapshot import EMPTY, Level, Snapshot, Table, TaskRecord
--- a/garnetpaddle/book/publisher.py
+++ b/garnetpaddle/book/publisher.py
@@ -1,4 +1,4 @@
-"""Where followers wait for a newer snapshot: one wake-up for all of them."""
+"""Publication of snapshots: one future wakes all waiting followers."""
 
 import asyncio
 
@@ -6,13 +6,13 @@
 
 
 class SnapshotPublisher:
-    """Written by the decision loop's task alone, on the event loop's thread."""
+    """Not thread-safe: only the decision loop's asyncio task publishes, on the event loop's thread."""
 
     def __init__(self):
         self.snapshot, self.next_publication = EMPTY, None
 
     def publish(self, snapshot):
-        """Publishes a snapshot; the same object as before wakes nobody."""
+        """Publishes a snapshot and wakes all waiters; does nothing if it is the published object."""
         if snapshot is self.snapshot:
             return
         self.snapshot = snapshot
@@ -21,7 +21,7 @@
         self.next_publication = None
 
     async def wait_newer(self, generation):
-        """The newest snapshot, once its generation is above this one."""
+        """Waits for a snapshot with a higher generation; returns the newest one."""
         while self.snapshot.generation <= generation:
             if self.next_publication is None:
                 self.next_publication = asyncio.get_running_loop().create_future()
--- a/garnetpaddle/rehearsal/script.py
+++ b/garnetpaddle/rehearsal/script.py
@@ -145,7 +145,7 @@
     ]
     start: NonNegative
     end: NonNegative = 0.0  # 0: the end of the simulation
-    nodes: list[str] = []  # by name ("washhouse-2") or group ("washhouse")
+    nodes: list[str] = []  # by name ("harbour-small-2") or group ("harbour-small")
     zone: str = ""
     share: Fraction = 0.0  # fraction, drawn by the seed, of the nodes selected above (or of the streams)
     amount: NonNegative = 0.0
