--- a/garnetpaddle/commands/advice.py
+++ b/garnetpaddle/commands/advice.py
@@ -157,16 +157,25 @@
     from garnetpaddle.client import DfpClient, SaspClient
 
     async def run():
-        at, uniform = parse_address(server, "HOST:PORT"), random.Random().uniform
+        server_address, uniform = parse_address(server, "HOST:PORT"), random.Random().uniform
         if dfp:
-            client = DfpClient(at, group, uniform=uniform)
+            client = DfpClient(server_address, group, uniform=uniform)
         else:
-            places = [parse_address(x, "--member") for x in members]
-            places += await listed_addresses(parse_address(discovery, "--discovery")) if discovery else []
-            if not group or not places:
+            member_addresses = [parse_address(x, "--member") for x in members]
+            member_addresses += (
+                await listed_addresses(parse_address(discovery, "--discovery")) if discovery else []
+            )
+            if not group or not member_addresses:
                 raise UsageError("SASP requires --group, and --member or --discovery")
             try:
-                client = SaspClient(at, uid, {group: places}, uniform=uniform, push=not pull, no_change=False)
+                client = SaspClient(
+                    server_address,
+                    uid,
+                    {group: member_addresses},
+                    uniform=uniform,
+                    push=not pull,
+                    no_change=False,
+                )
             except ValueError as error:
                 raise UsageError(f"--member: {error}") from None
         async with client:
--- a/garnetpaddle/commands/line.py
+++ b/garnetpaddle/commands/line.py
@@ -47,14 +47,23 @@
     files = read_files(file or os.environ.get("ROUTER_CONFIG"), operator, os.environ)
     if isinstance(files, int):
         return files
-    platform, plan, path = files
+    platform, operator_configuration, path = files
     print(
         f"{path}: fine; {platform.name} listens at {platform.listen}, "
         f"knows {len(platform.known.instances)} tasks"
     )
-    if plan:
-        fronts = ", ".join(f"{front.name} at {front.listen}" for front in (*plan.sasp, *plan.dfp)) or "none"
-        print(f"{operator}: fine; followers {len(plan.followers)}, groups {len(plan.groups)}; {fronts}")
+    if operator_configuration:
+        fronts = (
+            ", ".join(
+                f"{front.name} at {front.listen}"
+                for front in (*operator_configuration.sasp, *operator_configuration.dfp)
+            )
+            or "none"
+        )
+        print(
+            f"{operator}: fine; followers {len(operator_configuration.followers)}, "
+            f"groups {len(operator_configuration.groups)}; {fronts}"
+        )
     return 0
 
 
--- a/garnetpaddle/operator/block_decoder.py
+++ b/garnetpaddle/operator/block_decoder.py
@@ -65,9 +65,9 @@
     return values
 
 
-def describe_wrong_type(value, hint, error):
+def describe_wrong_type(value, expected_type, error):
     """Describes why a value is invalid and what is expected."""
-    choices = typing.get_args(hint) if typing.get_origin(hint) is typing.Literal else ()
+    choices = typing.get_args(expected_type) if typing.get_origin(expected_type) is typing.Literal else ()
     quoted_choices = ", ".join(f'"{choice}"' for choice in choices)
     why = f"expected one of {quoted_choices}" if choices else str(error)
     return f"{value!r:.40}: {why}"
--- a/garnetpaddle/operator/configuration.py
+++ b/garnetpaddle/operator/configuration.py
@@ -10,11 +10,9 @@
 
 Positive = Annotated[float, msgspec.Meta(gt=0, le=1e9)]
 Name = Annotated[str, msgspec.Meta(min_length=1, max_length=255)]
-SOCKET_SHARE = (
-    0.2  # of the file descriptors, for all front ends together: probes and peers take three quarters
-)
-MAX_FILE = 1 << 20  # bytes
-MAX_UID = 255  # bytes
+SOCKET_SHARE = 0.2  # of the descriptors, for all front ends together: probes and peers take three quarters
+MAX_FILE_BYTES = 1 << 20  # larger files are refused as a mistake
+MAX_UID_BYTES = 255
 MAX_PORT = 65_535
 
 
@@ -23,9 +21,7 @@
 
     connections: Annotated[int, msgspec.Meta(ge=1, le=100_000)] = 64
     message_kib: Annotated[int, msgspec.Meta(ge=1, le=1_024)] = 64  # longest message that is accepted
-    unread_kib: Annotated[int, msgspec.Meta(ge=1, le=65_536)] = (
-        256  # most data sent to one client and not read by it
-    )
+    unread_kib: Annotated[int, msgspec.Meta(ge=1, le=65_536)] = 256  # most unread data for one client
     members: Annotated[int, msgspec.Meta(ge=1, le=65_535)] = 1_024  # most of one follower, in all its groups
 
 
@@ -54,9 +50,7 @@
     name: str
     listen: Name
     pace: Positive = 1.0  # least s between weight updates to one client; drains are sent at once
-    interval: Positive = (
-        5.0  # poll interval that clients are told, in s; shorter where the grace time requires it
-    )
+    interval: Positive = 5.0  # s between polls, as told to clients; shorter if the grace time requires it
 
 
 class Dfp(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -87,7 +81,7 @@
         """The line of a field, or of its block if the field is left out; 1 if both are."""
         return self.lines.get((kind, name, field)) or self.lines.get((kind, name, ""), 1)
 
-    def diagnostic_of(self, kind, name, field, why):
+    def field_diagnostic(self, kind, name, field, why):
         """A Diagnostic with the position of a field."""
         where = f"{kind}.{name}.{field}".replace("..", ".")
         return Diagnostic(self.path, self.line_of(kind, name, field), where, why)
@@ -153,12 +147,12 @@
     """The file's HCL blocks; raises InvalidFile."""
     try:
         with open(path, "rb") as file:
-            text = file.read(MAX_FILE + 1).decode()
+            text = file.read(MAX_FILE_BYTES + 1).decode()
     except OSError as error:
         raise InvalidFile([Diagnostic(path, 1, "file", error.strerror or str(error))]) from None
     except UnicodeDecodeError:
         raise InvalidFile([Diagnostic(path, 1, "file", "not UTF-8 text")]) from None
-    if len(text) > MAX_FILE:
+    if len(text) > MAX_FILE_BYTES:
         raise InvalidFile([Diagnostic(path, 1, "file", "over 1 MiB")])
     try:
         return hcl.blocks(text)
@@ -194,15 +188,15 @@
         for name in follower.groups:
             if name not in groups:
                 why = f"unknown group {name!r}"
-                yield configuration.diagnostic_of("follower", follower.name, "groups", why)
+                yield configuration.field_diagnostic("follower", follower.name, "groups", why)
     names_by_uid = {}
     for follower in configuration.followers:
         uid = uid_of(follower)
-        if len(uid) > MAX_UID:
-            yield configuration.diagnostic_of("follower", follower.name, "uid", "longer than 255 bytes")
+        if len(uid) > MAX_UID_BYTES:
+            yield configuration.field_diagnostic("follower", follower.name, "uid", "longer than 255 bytes")
         if names_by_uid.setdefault(uid, follower.name) != follower.name:
             why = f"already used by follower {names_by_uid[uid]!r}"
-            yield configuration.diagnostic_of("follower", follower.name, "uid", why)
+            yield configuration.field_diagnostic("follower", follower.name, "uid", why)
 
 
 def check_listeners(configuration):
@@ -212,12 +206,12 @@
         for front in fronts:
             why = invalid_address(front.listen)
             if why:
-                yield configuration.diagnostic_of(kind, front.name, "listen", why)
+                yield configuration.field_diagnostic(kind, front.name, "listen", why)
                 continue
             ephemeral_port = front.listen.endswith(":0")  # the operating system assigns a free port
             if not ephemeral_port and fronts_by_address.setdefault(front.listen, front) is not front:
                 why = f"{front.listen} is already used by another block"
-                yield configuration.diagnostic_of(kind, front.name, "listen", why)
+                yield configuration.field_diagnostic(kind, front.name, "listen", why)
 
 
 def check_dfp(configuration):
@@ -226,22 +220,22 @@
     for front in configuration.dfp:
         if front.follower not in followers:
             why = f"unknown follower {front.follower!r}"
-            yield configuration.diagnostic_of("dfp", front.name, "follower", why)
+            yield configuration.field_diagnostic("dfp", front.name, "follower", why)
         elif followers[front.follower].takes != "acknowledged":
             why = (
                 "a DFP manager sends no answers, so each drain would end its connection; "
                 'set takes = "acknowledged" for its follower'
             )
-            yield configuration.diagnostic_of("dfp", front.name, "follower", why)
+            yield configuration.field_diagnostic("dfp", front.name, "follower", why)
         elif front.group not in followers[front.follower].groups:
             why = f"not in the groups of follower {front.follower!r}"
-            yield configuration.diagnostic_of("dfp", front.name, "group", why)
+            yield configuration.field_diagnostic("dfp", front.name, "group", why)
         if front.secret_file and not os.access(front.secret_file, os.R_OK):
             why = f"{front.secret_file!r} cannot be read"
-            yield configuration.diagnostic_of("dfp", front.name, "secret_file", why)
+            yield configuration.field_diagnostic("dfp", front.name, "secret_file", why)
         if ports.setdefault(front.follower, front.name) != front.name:
             why = f"already has the port dfp.{ports[front.follower]}"
-            yield configuration.diagnostic_of("dfp", front.name, "follower", why)
+            yield configuration.field_diagnostic("dfp", front.name, "follower", why)
 
 
 def uid_of(follower):
@@ -274,9 +268,9 @@
     for group in configuration.groups:
         if group.route not in routes:
             why = f"unknown route {group.route!r}; known routes: {', '.join(routes)}"
-            diagnostics.append(configuration.diagnostic_of("group", group.name, "route", why))
+            diagnostics.append(configuration.field_diagnostic("group", group.name, "route", why))
     for follower in configuration.followers:
         if follower.zone and settings.azs and follower.zone not in settings.azs:
             why = f"unknown zone {follower.zone!r}; known zones: {', '.join(settings.azs)}"
-            diagnostics.append(configuration.diagnostic_of("follower", follower.name, "zone", why))
+            diagnostics.append(configuration.field_diagnostic("follower", follower.name, "zone", why))
     return diagnostics
--- a/garnetpaddle/rehearsal/compare.py
+++ b/garnetpaddle/rehearsal/compare.py
@@ -29,8 +29,8 @@
 
 
 def differences(a, b):
-    """a, b: seed -> figures as from Result.as_dict; only seeds in both count. Raises ValueError if these are
-    fewer than two, which allow no interval."""
+    """Returns a Difference for each figure. a, b: seed -> figures as from Result.as_dict; only seeds in both
+    count. Raises ValueError if these are fewer than two, which allow no interval."""
     seeds = [seed for seed in a if seed in b]
     if len(seeds) < 2:
         raise ValueError("at least two seeds are needed")
--- a/garnetpaddle/rehearsal/fault_injection.py
+++ b/garnetpaddle/rehearsal/fault_injection.py
@@ -55,11 +55,11 @@
         """Begins a trouble."""
         match trouble.kind:
             case "list_late":
-                self.begin_factor(trouble, self.list_delays)
+                self.begin_amount(trouble, self.list_delays)
             case "reports_late":
-                self.begin_factor(trouble, self.report_delays)
+                self.begin_amount(trouble, self.report_delays)
             case "rate":
-                self.begin_factor(trouble, self.simulation.load_generator.rate_factors)
+                self.begin_amount(trouble, self.simulation.load_generator.rate_factors)
             case "killed":
                 self.begin_kill(trouble)
             case "streams":
@@ -67,7 +67,7 @@
             case _:
                 self.begin_on_nodes(trouble)
 
-    def begin_factor(self, trouble, amounts):
+    def begin_amount(self, trouble, amounts):
         """Begins a trouble that holds an amount while it lasts."""
         amounts[trouble.name] = trouble.amount
         self.log(f"{trouble.name} begins: {trouble.kind} {trouble.amount:g}")
@@ -147,7 +147,7 @@
         self.update_speed(node)
 
     def recover_nodes(self, trouble, names):
-        """Removes a trouble from its nodes."""
+        """Ends a trouble at its nodes: crashed ones restart, drained ones stop."""
         for name in names:
             node, key = self.simulation.nodes[name], trouble.name
             for amounts in (node.silent, node.paused, node.slow, node.errors, node.stolen):
--- a/garnetpaddle/rehearsal/script.py
+++ b/garnetpaddle/rehearsal/script.py
@@ -16,7 +16,7 @@
 Fraction = Annotated[float, msgspec.Meta(ge=0, le=1)]
 Count = Annotated[int, msgspec.Meta(ge=1, le=10_000)]
 MAX_INCLUDES = 8  # nested files
-KINDS = {
+TROUBLE_KINDS = {
     "silent": "accepts calls and never answers",
     "slow": "runs `amount` times slower",
     "errors": "fails the fraction `amount` of its calls at once",
@@ -32,7 +32,17 @@
     "killed": "the assigner is killed, and restarts at the end",
     "rate": "clients call `amount` times as often",
 }
-KINDS_ON_NODES = ("silent", "slow", "errors", "pause", "crash", "stolen", "drain", "release", "list_wrong")
+NODE_TROUBLE_KINDS = (
+    "silent",
+    "slow",
+    "errors",
+    "pause",
+    "crash",
+    "stolen",
+    "drain",
+    "release",
+    "list_wrong",
+)
 AMOUNT_RANGES = {
     "slow": (1, 1e3),
     "errors": (0, 1),
@@ -233,15 +243,14 @@
         if (block.kind, name) in own_blocks:
             diagnostics.append(Diagnostic(path, block.line, block_title(block), "duplicate block"))
         own_blocks[block.kind, name] = True
-        place = path, block.line, {key: line for key, (_, line) in block.attributes.items()}
+        position = path, block.line, {key: line for key, (_, line) in block.attributes.items()}
         include = decoded.include if block.kind == "rehearsal" else include
         if name not in blocks_by_kind[block.kind]:
-            blocks_by_kind[block.kind][name] = decoded, place
-        elif (
-            block.kind in SINGLETONS
-        ):  # fields that the including script leaves out come from the included one
+            blocks_by_kind[block.kind][name] = decoded, position
+        elif block.kind in SINGLETONS:
+            # Fields that the including script leaves out come from the included one.
             including, (file, line, lines) = blocks_by_kind[block.kind][name]
-            inherited = {key: getattr(decoded, key) for key in place[2] if key not in lines}
+            inherited = {key: getattr(decoded, key) for key in position[2] if key not in lines}
             lines = lines | dict.fromkeys(inherited, line)
             blocks_by_kind[block.kind][name] = (
                 msgspec.structs.replace(including, **inherited),
@@ -292,23 +301,25 @@
     zones, kinds = {z.name for z in script.zones}, {k.name for k in script.kinds}
     for group in script.nodes:
         if group.zone not in zones:
-            yield diagnostic_of(
+            yield field_diagnostic(
                 script, blocks_by_kind, "nodes", group.name, "zone", f"unknown zone {group.zone!r}"
             )
         if group.kind not in kinds:
-            yield diagnostic_of(
+            yield field_diagnostic(
                 script, blocks_by_kind, "nodes", group.name, "kind", f"unknown kind {group.kind!r}"
             )
     for route in script.routes:
         if route.slo > route.limit:
-            yield diagnostic_of(script, blocks_by_kind, "route", route.name, "slo", "exceeds the time limit")
+            yield field_diagnostic(
+                script, blocks_by_kind, "route", route.name, "slo", "exceeds the time limit"
+            )
     known = {name for name, _ in script.node_names()} | {group.name for group in script.nodes}
     for trouble in script.troubles:
         for field, why in check_trouble(trouble, known, zones, script.rehearsal.length):
-            yield diagnostic_of(script, blocks_by_kind, "trouble", trouble.name, field, why)
+            yield field_diagnostic(script, blocks_by_kind, "trouble", trouble.name, field, why)
 
 
-def diagnostic_of(script, blocks_by_kind, kind, name, field, why):
+def field_diagnostic(script, blocks_by_kind, kind, name, field, why):
     """A Diagnostic with the position of a block's field."""
     path, line, lines = (
         blocks_by_kind[kind][name][1] if name in blocks_by_kind[kind] else (script.path, 1, {})
@@ -328,7 +339,7 @@
         yield "start", f"must be before the end of the rehearsal, {length:g} s"
     if trouble.end and trouble.end <= trouble.start:
         yield "end", "must be after start"
-    if trouble.kind in KINDS_ON_NODES and not (trouble.nodes or trouble.zone or trouble.share):
+    if trouble.kind in NODE_TROUBLE_KINDS and not (trouble.nodes or trouble.zone or trouble.share):
         yield "nodes", "no targets; set nodes, zone or share"
     low, high = AMOUNT_RANGES.get(trouble.kind, (0, 0))
     if trouble.kind in AMOUNT_RANGES and not low < trouble.amount <= high:
--- a/garnetpaddle/rehearsal/simulation.py
+++ b/garnetpaddle/rehearsal/simulation.py
@@ -95,7 +95,7 @@
     # The assigner
 
     def terms(self):
-        """The Brain's terms."""
+        """The terms under which the Brain decides, from the script."""
         delays, kinds = self.delays, self.script.kinds
         return gp.Terms(
             routes=tuple(gp.Route(r.importance, tenths_of_ms(r.slo)) for r in self.script.routes),
@@ -303,7 +303,7 @@
     # The run
 
     def check_rules(self):
-        """Checks the rules, and takes a sample each second."""
+        """Checks the rules periodically, and takes a sample each second."""
         now = self.scheduler.now
         ready = any(
             self.rules.not_ready_since.get(k) is None and self.nodes[k].speed_fraction() >= 1
@@ -328,7 +328,7 @@
         self.result.samples.append([now / TENTHS_OF_MS_PER_SECOND, rate, queued, shown])
 
     def run(self, progress=None):
-        """Runs the simulation; returns its Result. progress(fraction): called at each step of the way."""
+        """Runs the simulation; returns its Result. progress(fraction): called PROGRESS_STEPS times."""
         self.prepare()
         last = self.length + max(tenths_of_ms(r.limit) for r in self.script.routes) + 10
         for k in range(1, PROGRESS_STEPS + 1):
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -76,9 +76,9 @@
 def test_a_valid_file_and_the_example_are_accepted(tmp_path):
     path = tmp_path / "operator.hcl"
     path.write_text(VALID)
-    plan = op.read(str(path))
-    assert plan.followers[0].calls_per_second == 40 and plan.followers[0].retries == "on proof"
-    assert plan.limits.connections == 10 and not op.check_against_platform(plan, PLATFORM)
+    decoded = op.read(str(path))
+    assert decoded.followers[0].calls_per_second == 40 and decoded.followers[0].retries == "on proof"
+    assert decoded.limits.connections == 10 and not op.check_against_platform(decoded, PLATFORM)
     assert not op.check_against_platform(op.read(str(ROOT / "deploy" / "operator.hcl")), PLATFORM)
 
 
--- a/tests/test_rehearsal.py
+++ b/tests/test_rehearsal.py
@@ -330,23 +330,23 @@
 
 
 def test_round_robin_adapts_to_weights_without_catch_up_after_exclusion():
-    lines, out = WeightedRoundRobin(Scheduler(1).random_stream("rota")), {}
+    entries, excluded = WeightedRoundRobin(Scheduler(1).random_stream("rota")), {}
     for k in "abc":
-        lines.set(k, 1.0)
-    picks = [lines.pick(out.get) for _ in range(300)]
+        entries.set(k, 1.0)
+    picks = [entries.pick(excluded.get) for _ in range(300)]
     assert {picks.count(k) for k in "abc"} == {100}
-    out["a"] = True
-    assert "a" not in [lines.pick(out.get) for _ in range(200)]
-    out.clear()
-    back = [lines.pick(out.get) for _ in range(30)]
+    excluded["a"] = True
+    assert "a" not in [entries.pick(excluded.get) for _ in range(200)]
+    excluded.clear()
+    back = [entries.pick(excluded.get) for _ in range(30)]
     assert 9 <= back.count("a") <= 11
-    lines.set("b", 4.0)
-    picks = [lines.pick(out.get) for _ in range(600)]
+    entries.set("b", 4.0)
+    picks = [entries.pick(excluded.get) for _ in range(600)]
     assert abs(picks.count("b") - 400) <= 2
-    lines.set("b", 0.0)
-    assert "b" not in [lines.pick(out.get) for _ in range(50)]
-    out |= {"a": True, "c": True}
-    assert lines.pick(out.get) is None and len(lines.heap) < 20
+    entries.set("b", 0.0)
+    assert "b" not in [entries.pick(excluded.get) for _ in range(50)]
+    excluded |= {"a": True, "c": True}
+    assert entries.pick(excluded.get) is None and len(entries.heap) < 20
 
 
 def test_a_proxy_retries_once_if_the_first_try_never_ran():
