--- a/garnetpaddle/rehearsal/model/channel.py
+++ b/garnetpaddle/rehearsal/model/channel.py
@@ -72,7 +72,7 @@
         self.reset()
 
     def reset(self):
-        """Drops queued and in-flight messages and the tables, after the assigner died."""
+        """Drops queued and in-flight messages and the tables, after a crash of the assigner."""
         self.incarnation += 1
         self.tables, self.levels, self.withdrawn, self.table_by_proxy = {}, {}, {}, {}
         self.idle_at, self.last_arrivals, self.lines = 0, {}, 0.0
@@ -152,7 +152,7 @@
         self.scheduler.call_at(at, self.deliver, number, changes, mark, now, self.incarnation, joined_at)
 
     def deliver(self, number, changes, mark, sent_at, incarnation, joined_at):
-        """Delivers a message, unless the stream broke or the assigner died while it was in flight."""
+        """Delivers a message, unless the stream broke or the assigner crashed while it was in flight."""
         proxy = self.proxies[number]
         if incarnation != self.incarnation or not proxy.joined or proxy.joined_at != joined_at:
             return
--- a/garnetpaddle/rehearsal/model/node.py
+++ b/garnetpaddle/rehearsal/model/node.py
@@ -168,7 +168,7 @@
         self.remove_job(job)
 
     def stop(self):
-        """The process dies: running and queued jobs fail alike, and callers can't tell whether they ran."""
+        """Ends the process: running and queued jobs fail alike, and callers can't tell whether they ran."""
         self.up = False
         jobs = [*self.running, *self.queue]
         self.running, self.queue, self.connections = {}, collections.deque(), {}
--- a/tests/test_book.py
+++ b/tests/test_book.py
@@ -160,7 +160,8 @@
 
 
 def test_snapshots_match_the_brains_table_after_every_batch():
-    """The Brain's present lines and those of the snapshot are equal after every batch, losses included."""
+    """The lines of the Brain's table and of the snapshot are equal after every batch, while a task drains and
+    a task and a proxy join."""
 
     class PlayWithBuilder(Play):
         builder = None
@@ -184,7 +185,7 @@
 
 
 def test_one_publication_wakes_all_waiters():
-    async def play():
+    async def scenario():
         publisher, builder = SnapshotPublisher(), SnapshotBuilder()
         waiting = [asyncio.create_task(publisher.wait_newer(0)) for _ in range(5)]
         await asyncio.sleep(0)
@@ -201,4 +202,4 @@
         assert not waiter.done()
         waiter.cancel()
 
-    asyncio.run(play())
+    asyncio.run(scenario())
--- a/tests/test_rehearsal.py
+++ b/tests/test_rehearsal.py
@@ -238,7 +238,7 @@
 
 
 class RecordingRules:
-    """Rules that only record what they are told."""
+    """Stands in for RuleChecker: records overloads and executions, checks nothing."""
 
     cold_window, fall_multiple = 30_000, 3.0
 
