--- a/benchmarks/scaling/__init__.py
+++ b/benchmarks/scaling/__init__.py
@@ -1,1 +1,1 @@
-"""Parts of the scale benchmark: hollow peers on loopback, real assigners, measurements, fits and reports."""
+"""Parts of the scale benchmark: fake peers on loopback, real assigners, measurements, fits and reports."""
--- a/benchmarks/scaling/assigner_process.py
+++ b/benchmarks/scaling/assigner_process.py
@@ -1,4 +1,4 @@
-"""One real assigner as a process: started, asked whether it is up, and read from /proc."""
+"""Runs one real assigner as a process: start, heartbeat check, and resource usage from /proc."""
 
 import contextlib
 import json
@@ -13,52 +13,52 @@
 
 from benchmarks.scaling import counted_assigner
 
-PLAIN = (sys.executable, "-m", "garnetpaddle", "serve")
-COUNTED = (sys.executable, "-m", "benchmarks.scaling.counted_assigner")
-HEARTBEAT_EVERY_S = 0.02
-END_WITHIN_S = 3.0  # after SIGTERM; then SIGKILL
+SERVE_COMMAND = (sys.executable, "-m", "garnetpaddle", "serve")
+COUNTED_COMMAND = (sys.executable, "-m", "benchmarks.scaling.counted_assigner")
+HEARTBEAT_INTERVAL_S = 0.02
+STOP_TIMEOUT_S = 3.0  # from SIGTERM to SIGKILL
 ROOT = pathlib.Path(__file__).parent.parent.parent
 
 
 @dataclass(frozen=True, slots=True)
-class ProcessUse:
-    """What the system says of a process."""
+class ProcessUsage:
+    """Resource usage of a process."""
 
-    cpu_s: float  # processor time since its start, all threads
+    cpu_s: float  # CPU time since its start, all threads
     resident_kb: int
     peak_kb: int
 
 
 def free_port():
-    """A port that was free on loopback just now: the assigner's own address has to be named to it."""
-    with socket.socket() as probe:
-        probe.bind(("127.0.0.1", 0))
-        return probe.getsockname()[1]
+    """A currently free loopback port: the assigner's configuration has to contain its own address."""
+    with socket.socket() as listener:
+        listener.bind(("127.0.0.1", 0))
+        return listener.getsockname()[1]
 
 
 class AssignerProcess:
-    """A process of `serve`; counted: with its turns counted from outside."""
+    """A process of `serve`, or of `counted_assigner` if its turns are to be counted."""
 
     def __init__(self, directory, rank, configuration, counted):
         self.directory, self.rank = pathlib.Path(directory), rank
         self.address = ("127.0.0.1", int(configuration["listen"].rpartition(":")[2]))
-        self.path = self.directory / f"assigner-{rank}.json"
-        self.path.write_text(json.dumps(configuration))
+        self.config_path = self.directory / f"assigner-{rank}.json"
+        self.config_path.write_text(json.dumps(configuration))
         self.counts_path = self.directory / f"counts-{rank}" if counted else None
         self.process = self.started_at = self.output = None
 
     def start(self):
-        """Starts the program."""
-        command = PLAIN
+        """Starts the process."""
+        command = SERVE_COMMAND
         if self.counts_path:
             counted_assigner.create(self.counts_path)
-            command = (*COUNTED, str(self.counts_path))
+            command = (*COUNTED_COMMAND, str(self.counts_path))
         self.output = open(self.directory / f"output-{self.rank}", "wb")  # noqa: SIM115 (closed in `end`)
         environment = {key: value for key, value in os.environ.items() if not key.startswith("ROUTER_")}
         self.started_at = time.monotonic()
         self.process = subprocess.Popen(
             command,
-            env=environment | {"ROUTER_CONFIG": str(self.path)},
+            env=environment | {"ROUTER_CONFIG": str(self.config_path)},
             cwd=ROOT,
             stdin=subprocess.DEVNULL,
             stdout=self.output,
@@ -66,43 +66,45 @@
         )
 
     def wait_until_up(self, limit):
-        """Seconds from the start to its first `hb_ok`, or None where the limit came first or it ended."""
-        until = self.started_at + limit
-        while time.monotonic() < until and self.process.poll() is None:
+        """Seconds from the start to the first `hb_ok`; None on a timeout or if the process exits."""
+        deadline = self.started_at + limit
+        while time.monotonic() < deadline and self.process.poll() is None:
             with (
                 contextlib.suppress(OSError),
-                socket.create_connection(self.address, HEARTBEAT_EVERY_S) as link,
+                socket.create_connection(self.address, HEARTBEAT_INTERVAL_S) as connection,
             ):
-                link.settimeout(max(HEARTBEAT_EVERY_S, until - time.monotonic()))
-                link.sendall(b"hb\r\n")
-                if link.recv(16).startswith(b"hb_ok"):
+                connection.settimeout(max(HEARTBEAT_INTERVAL_S, deadline - time.monotonic()))
+                connection.sendall(b"hb\r\n")
+                if connection.recv(16).startswith(b"hb_ok"):
                     return time.monotonic() - self.started_at
-            time.sleep(HEARTBEAT_EVERY_S)
+            time.sleep(HEARTBEAT_INTERVAL_S)
         return None
 
-    def use(self):
-        """What it has used so far."""
-        proc = pathlib.Path(f"/proc/{self.process.pid}")
-        spent = sum(int(path.read_text().split()[0]) for path in proc.glob("task/*/schedstat"))
-        status = dict(line.split(":", 1) for line in (proc / "status").read_text().splitlines())
+    def usage(self):
+        """Resource usage so far."""
+        proc_directory = pathlib.Path(f"/proc/{self.process.pid}")
+        cpu_ns = sum(
+            int(schedstat.read_text().split()[0]) for schedstat in proc_directory.glob("task/*/schedstat")
+        )
+        status = dict(line.split(":", 1) for line in (proc_directory / "status").read_text().splitlines())
         sizes = (int(status[field].split()[0]) for field in ("VmRSS", "VmHWM"))
-        return ProcessUse(spent / 1e9, *sizes)
+        return ProcessUsage(cpu_ns / 1e9, *sizes)
 
     def turns(self):
-        """The counts of its turns; None where they are not counted."""
+        """The counts of its turns; None if they are not counted."""
         return counted_assigner.read(self.counts_path) if self.counts_path else None
 
     def reload(self):
-        """Asks it to read its configuration again."""
+        """Sends SIGHUP, which makes it reload its configuration."""
         self.process.send_signal(signal.SIGHUP)
 
     def end(self):
-        """Ends it, as the platform does; returns the last lines that it has written."""
+        """Stops it with SIGTERM, then SIGKILL, as the platform does; returns its last lines of output."""
         if self.process is None:
             return ""
         self.process.terminate()
         try:
-            self.process.wait(END_WITHIN_S)
+            self.process.wait(STOP_TIMEOUT_S)
         except subprocess.TimeoutExpired:
             self.process.kill()
             self.process.wait()
--- a/benchmarks/scaling/brain_turn.py
+++ b/benchmarks/scaling/brain_turn.py
@@ -1,11 +1,12 @@
-"""What a turn of the Brain costs at a size, and which functions cost it: in one process, without sockets.
+"""Measures and profiles the CPU time of a turn of the Brain, in one process without sockets.
 
-    python -m benchmarks.scaling.brain_turn                                  # the operators' tasks
+    python -m benchmarks.scaling.brain_turn                                  # the operators' size
     python -m benchmarks.scaling.brain_turn --tasks 3250 --profile 15
-    python -m benchmarks.scaling.brain_turn --tasks 3250 --start --profile 15  # of the first lists instead
+    python -m benchmarks.scaling.brain_turn --tasks 3250 --start --profile 15  # the initial lists instead
 
-A virtual clock; events as the hollow peers bring them: probes answered, sums of the tasks in the table, marks
-applied, and beats. `--start` profiles the list as last had and the whole list of discovery, before any proxy.
+Runs on a virtual clock with the events that the fake peers cause: probe answers, sums of the tasks in the
+table, applied marks and timer beats. `--start` profiles the stale list and discovery's first full list,
+before any proxy joins.
 """
 
 import cProfile
@@ -21,78 +22,80 @@
 from garnetpaddle import interface as gp
 from garnetpaddle.brain import Brain
 
-BEAT, SECOND = 1_000, 10_000  # tenths of a ms
-WAYS_MS = 50  # of an answer to a probe or a mark
+BEAT_TICKS, SECOND_TICKS = 1_000, 10_000  # 0.1 ms ticks
+ANSWER_DELAY_MS = 50  # until a probe or a mark is answered
 
 
-def lines(sizes):
-    """The list as it is heard."""
+def task_lines(params):
+    """The task list as the Brain receives it."""
     return tuple(
         gp.TaskLine(
-            workload.task_name(k), workload.zone_name(k % sizes.zones), 0, "ready", 1.0, 0, f"m{k % 2}"
+            workload.task_name(k), workload.zone_name(k % params.zones), 0, "ready", 1.0, 0, f"m{k % 2}"
         )
-        for k in range(sizes.tasks)
+        for k in range(params.tasks)
     )
 
 
-class Play:
-    """A Brain among the events of a quiet day."""
+class VirtualDay:
+    """Feeds a Brain the events of a day without incidents."""
 
-    def __init__(self, sizes):
-        settings = msgspec.convert(workload.settings(sizes, 0), boot.Settings)
-        self.sizes, self.brain = sizes, Brain(boot.terms(settings), 7)
-        self.now, self.coming, self.table, self.turns = 10**9, [], {}, 0
+    def __init__(self, params):
+        settings = msgspec.convert(workload.settings(params, 0), boot.Settings)
+        self.params, self.brain = params, Brain(boot.terms(settings), 7)
+        self.now, self.pending_events, self.table, self.turns = 10**9, [], {}, 0
         self.random = random.Random(7)
 
-    def hear(self, events):
-        """One turn; what it orders comes back as answers in time."""
+    def handle(self, events):
+        """Runs one turn and schedules the answers to its orders."""
         self.turns += 1
         for order in self.brain.handle(self.now, events):
-            at = self.now + WAYS_MS * 10
+            at = self.now + ANSWER_DELAY_MS * 10
             match order:
                 case gp.Probe(task=task):
-                    self.coming.append((at, gp.ProbeAnswered(task, 50, "ok", {"in_hand": 2.0})))
+                    self.pending_events.append((at, gp.ProbeAnswered(task, 50, "ok", {"in_hand": 2.0})))
                 case gp.Seal(mark=mark):
-                    self.coming += [
-                        (at, gp.Applied(proxy, mark, 500)) for proxy in workload.proxy_ids(self.sizes, 0)
+                    self.pending_events += [
+                        (at, gp.Applied(proxy, mark, 500)) for proxy in workload.proxy_ids(self.params, 0)
                     ]
                 case gp.SetLine(task=task, weight=weight):
                     self.table.pop(task, None)
                     self.table |= {task: weight} if weight else {}
 
     def start(self):
-        """The list as last had, and discovery's."""
-        self.hear([gp.ListHeard("stale", lines(self.sizes))])
-        self.hear([gp.ListHeard("full", lines(self.sizes))])
+        """Handles the stale list, then discovery's full list."""
+        self.handle([gp.ListHeard("stale", task_lines(self.params))])
+        self.handle([gp.ListHeard("full", task_lines(self.params))])
 
     def join(self):
-        """All proxies join."""
-        rate = self.sizes.requests / self.sizes.proxies
-        self.hear(
+        """Joins all proxies."""
+        rate = self.params.requests / self.params.proxies
+        self.handle(
             [
-                gp.ProxyJoined(proxy, rate, True, workload.zone_name(k % self.sizes.zones))
-                for k, proxy in enumerate(workload.proxy_ids(self.sizes, 0))
+                gp.ProxyJoined(proxy, rate, True, workload.zone_name(k % self.params.zones))
+                for k, proxy in enumerate(workload.proxy_ids(self.params, 0))
             ]
         )
 
-    def sums(self):
-        """The reports of a second."""
+    def task_sums(self):
+        """The task reports of one second."""
         names = list(self.table) or [workload.task_name(0)]
-        drawn = self.random.choices(names, k=round(self.sizes.requests))
+        chosen = self.random.choices(names, k=round(self.params.requests))
         return [
-            gp.TaskSums(name, workload.zone_name(k % self.sizes.zones), 1, 0, 300.0, SECOND, {"busy": 0.3})
-            for k, name in enumerate(drawn)
+            gp.TaskSums(
+                name, workload.zone_name(k % self.params.zones), 1, 0, 300.0, SECOND_TICKS, {"busy": 0.3}
+            )
+            for k, name in enumerate(chosen)
         ]
 
     def run(self, seconds):
-        """Beats with what has come meanwhile, and one turn more for each second's sums."""
-        for beat in range(round(seconds * SECOND / BEAT)):
-            self.now += BEAT
-            due = [event for at, event in self.coming if at <= self.now]
-            self.coming = [(at, event) for at, event in self.coming if at > self.now]
-            self.hear([*due, gp.TimerDue("beat")])
-            if beat % (SECOND // BEAT) == 0:
-                self.hear(self.sums())
+        """Runs a turn per beat with the events due, and another one per second with the task sums."""
+        for beat in range(round(seconds * SECOND_TICKS / BEAT_TICKS)):
+            self.now += BEAT_TICKS
+            due = [event for at, event in self.pending_events if at <= self.now]
+            self.pending_events = [(at, event) for at, event in self.pending_events if at > self.now]
+            self.handle([*due, gp.TimerDue("beat")])
+            if beat % (SECOND_TICKS // BEAT_TICKS) == 0:
+                self.handle(self.task_sums())
 
 
 @click.command()
@@ -100,25 +103,25 @@
 @click.option("--assigners", default=workload.OPERATORS.assigners, show_default=True)
 @click.option("--proxies", default=workload.OPERATORS.proxies, show_default=True)
 @click.option("--routes", default=4, show_default=True)
-@click.option("--seconds", default=5.0, show_default=True, help="Of the virtual day.")
-@click.option("--start", "start_only", is_flag=True, help="Profile the first lists, and no day.")
-@click.option("--profile", "rows", type=int, help="Print so many functions, the dearest first.")
+@click.option("--seconds", default=5.0, show_default=True, help="Virtual time to run.")
+@click.option("--start", "start_only", is_flag=True, help="Only handle and profile the initial lists.")
+@click.option("--profile", "rows", type=int, help="Print this many functions, by descending time.")
 def main(tasks, assigners, proxies, routes, seconds, start_only, rows):
-    """Plays a start and some seconds; prints processor times."""
-    play = Play(workload.Workload(tasks=tasks, assigners=assigners, proxies=proxies, routes=routes))
-    watch = cProfile.Profile() if rows else None
-    begun = time.process_time()
-    watch.runcall(play.start) if watch and start_only else play.start()
-    click.echo(f"first lists: {time.process_time() - begun:.3f} s of processor time, {tasks} tasks")
+    """Runs the start and some seconds of virtual time; prints CPU times."""
+    day = VirtualDay(workload.Workload(tasks=tasks, assigners=assigners, proxies=proxies, routes=routes))
+    profiler = cProfile.Profile() if rows else None
+    started_at = time.process_time()
+    profiler.runcall(day.start) if profiler and start_only else day.start()
+    click.echo(f"initial lists: {time.process_time() - started_at:.3f} s of CPU time, {tasks} tasks")
     if not start_only:
-        play.join()
-        begun, turns = time.process_time(), play.turns
-        watch.runcall(play.run, seconds) if watch else play.run(seconds)
-        spent, turns = time.process_time() - begun, play.turns - turns
-        click.echo(f"a turn: {spent / turns * 1e3:.3f} ms; {turns} turns; {len(play.brain.mine)} own tasks")
-        click.echo(f"a core's part at {turns / seconds:.1f} turns a second: {spent / seconds:.3f}")
+        day.join()
+        started_at, turns = time.process_time(), day.turns
+        profiler.runcall(day.run, seconds) if profiler else day.run(seconds)
+        cpu_s, turns = time.process_time() - started_at, day.turns - turns
+        click.echo(f"per turn: {cpu_s / turns * 1e3:.3f} ms; {turns} turns; {len(day.brain.mine)} own tasks")
+        click.echo(f"fraction of a core at {turns / seconds:.1f} turns per second: {cpu_s / seconds:.3f}")
     if rows:
-        pstats.Stats(watch).sort_stats("tottime").print_stats(rows)
+        pstats.Stats(profiler).sort_stats("tottime").print_stats(rows)
 
 
 if __name__ == "__main__":
--- a/benchmarks/scaling/counted_assigner.py
+++ b/benchmarks/scaling/counted_assigner.py
@@ -1,9 +1,9 @@
-"""`garnetpaddle serve` with its turns counted from outside: the product has no switch for that.
+"""Runs `garnetpaddle serve` with a counter around `Brain.handle`: the product has no option for that.
 
     python -m benchmarks.scaling.counted_assigner COUNTS_FILE
 
-The file holds the counts of the latest turn, see `TurnCounts`; they are written to shared memory, without a
-system call. The decisions are the product's own.
+The file holds the totals after the latest turn, see `TurnCounts`. They are written to shared memory without
+a system call. The decisions are unchanged.
 """
 
 import dataclasses
@@ -19,21 +19,21 @@
 
 @dataclass(frozen=True, slots=True)
 class TurnCounts:
-    """Since the start of the process."""
+    """Totals since the start of the process, and the current sizes of the state."""
 
     turns: int = 0
     events: int = 0
     orders: int = 0
-    beats: int = 0  # turns with no event but the Brain's own timer
-    cpu_s: float = 0.0  # processor time within turns
+    beats: int = 0  # turns with no event other than the Brain's own timer
+    cpu_s: float = 0.0  # CPU time within turns
     list_entries: int = 0
     tasks: int = 0
-    own_tasks: int = 0  # those that this assigner orders and probes
+    own_tasks: int = 0  # tasks that this assigner orders and probes
     proxies: int = 0
     table_lines: int = 0
 
     def since(self, earlier):
-        """What has been added to an earlier count; the sizes of the state as they stand."""
+        """The totals as a difference to an earlier count; the sizes of the state stay as they are."""
         return dataclasses.replace(
             self,
             turns=self.turns - earlier.turns,
@@ -45,33 +45,33 @@
 
 
 def create(path):
-    """An empty file of counts."""
+    """Creates a file of zero counts."""
     with open(path, "wb") as file:
         file.write(LAYOUT.pack(*dataclasses.astuple(TurnCounts())))
 
 
 def read(path):
-    """The counts of the latest turn."""
+    """Reads the counts after the latest turn."""
     with open(path, "rb") as file:
         return TurnCounts(*LAYOUT.unpack(file.read(LAYOUT.size)))
 
 
 class Counter:
-    """Wraps a Brain's `handle`, and keeps its counts in a mapped file."""
+    """Wraps `Brain.handle` and writes its counts to a memory-mapped file."""
 
     def __init__(self, path):
         with open(path, "r+b") as file:
             self.memory = mmap.mmap(file.fileno(), LAYOUT.size)
         self.turns = self.events = self.orders = self.beats = 0
-        self.cpu = 0.0
+        self.cpu_s = 0.0
 
     def wrap(self, handle, timer_type):
-        """The counted form of `Brain.handle`."""
+        """Returns `handle` with counting added."""
 
-        def counted(brain, now, events):
-            begun = time.process_time()
+        def counting_handle(brain, now, events):
+            started_at = time.process_time()
             orders = handle(brain, now, events)
-            self.cpu += time.process_time() - begun
+            self.cpu_s += time.process_time() - started_at
             self.turns += 1
             self.events += len(events)
             self.orders += len(orders)
@@ -79,17 +79,17 @@
             self.write(brain)
             return orders
 
-        return counted
+        return counting_handle
 
     def write(self, brain):
-        """Keeps the counts of this turn."""
+        """Writes the counts after a turn."""
         lines = sum(len(table.laid) for table in brain.tables)
         state = len(brain.lines), len(brain.tasks), len(brain.mine), len(brain.proxies), lines
-        LAYOUT.pack_into(self.memory, 0, self.turns, self.events, self.orders, self.beats, self.cpu, *state)
+        LAYOUT.pack_into(self.memory, 0, self.turns, self.events, self.orders, self.beats, self.cpu_s, *state)
 
 
 def main():
-    """Serves as `garnetpaddle serve` does."""
+    """Runs the assigner as `garnetpaddle serve` does."""
     sys.modules.setdefault("rich", None)  # as the product's `serve` does
     from garnetpaddle import interface
     from garnetpaddle.brain import Brain
--- a/benchmarks/scaling/reference.py
+++ b/benchmarks/scaling/reference.py
@@ -1,22 +1,22 @@
-"""A fixed piece of work, timed beside each point: its processor time differs with the machine's load."""
+"""A fixed reference computation, timed during each point to show the machine's load."""
 
 import time
 
-OBJECTS, ROUNDS = 13_000, 10
+OBJECT_COUNT, ROUNDS = 13_000, 10
 
 
 class Entry:
-    """One of many objects with a few attributes, as the walked ones are."""
+    """An object with a few attributes, like the Brain's entries."""
 
     def __init__(self, number):
         self.name, self.state, self.share = f"s-{number}", "ready", 1.0 + number % 7
 
 
 def reference_ms():
-    """Processor time of this thread for some walks and sorts over objects, in milliseconds."""
-    entries = {f"s-{number}": Entry(number) for number in range(OBJECTS)}
-    begun = time.thread_time()
+    """Mean CPU time of this thread for one scan and sort of the objects, in milliseconds."""
+    entries = {f"s-{number}": Entry(number) for number in range(OBJECT_COUNT)}
+    started_at = time.thread_time()
     for _ in range(ROUNDS):
         ready = [entry for entry in entries.values() if entries[entry.name].state == "ready"]
         sorted(ready, key=lambda entry: -entry.share)
-    return (time.thread_time() - begun) * 1_000 / ROUNDS
+    return (time.thread_time() - started_at) * 1_000 / ROUNDS
--- a/benchmarks/scaling/report.py
+++ b/benchmarks/scaling/report.py
@@ -1,4 +1,4 @@
-"""The sweep's results as a table, as JSON and as a plot."""
+"""Reports the results of a sweep as tables, JSON and plots."""
 
 import dataclasses
 import json
@@ -9,65 +9,65 @@
 
 from benchmarks.scaling import measure, sweep, workload
 
-PLOTTED = ("cpu_part", "resident_kb", "control_bytes_per_s", "up_s", "withdrawal_s")
-DIGITS = 4  # significant digits of a figure in the table
+PLOTTED_FIGURES = ("cpu_part", "resident_kb", "control_bytes_per_s", "up_s", "withdrawal_s")
+SIGNIFICANT_DIGITS = 4  # of figures in the tables
 
 
 def document(results, fits, identity, arguments):
-    """All that was measured, as one JSON object."""
+    """All results as one JSON-compatible object."""
     commit, changed = identity
     return {
         "commit": commit,
         "files_changed_since": changed,
         "arguments": arguments,
-        "real_assigners": workload.REAL_ASSIGNERS,
+        "real_assigners": workload.ASSIGNER_PROCESSES,
         "held": dataclasses.asdict(workload.Workload()),
         "lacking": workload.LACKING,
         "fits": {
-            name: {figure: dataclasses.asdict(one) for figure, one in each.items()}
-            for name, each in fits.items()
+            name: {key: dataclasses.asdict(fit) for key, fit in by_figure.items()}
+            for name, by_figure in fits.items()
         },
         "points": [dataclasses.asdict(result) for result in results],
     }
 
 
-def write_json(path, said):
-    """Writes the document, with figures at a sensible length."""
-    said = rounded(said)
-    points = ",\n".join(json.dumps(point, separators=(",", ":")) for point in said.pop("points"))
-    head = json.dumps(said, indent=1).removesuffix("\n}")
+def write_json(path, content):
+    """Writes the document with rounded figures, one point per line."""
+    content = round_floats(content)
+    points = ",\n".join(json.dumps(point, separators=(",", ":")) for point in content.pop("points"))
+    head = json.dumps(content, indent=1).removesuffix("\n}")
     with open(path, "w") as file:
         file.write(f'{head},\n "points": [\n{points}\n]}}\n')
 
 
 def read_points(path):
-    """The points of a document that was written before."""
+    """Reads the points of an earlier document."""
     with open(path) as file:
-        said = json.load(file)
+        content = json.load(file)
     return [
         measure.PointResult(**point | {"workload": workload.Workload(**point["workload"])})
-        for point in said["points"]
+        for point in content["points"]
     ]
 
 
-def rounded(value):
-    """A structure with its floats at six significant digits."""
+def round_floats(value):
+    """Rounds all floats of a nested structure to six significant digits."""
     if isinstance(value, float):
         return float(f"{value:.6g}")
     if isinstance(value, dict):
-        return {key: rounded(one) for key, one in value.items()}
+        return {key: round_floats(item) for key, item in value.items()}
     if isinstance(value, list | tuple):
-        return [rounded(one) for one in value]
+        return [round_floats(item) for item in value]
     return value
 
 
-def figure(value):
-    """A figure for people."""
-    return "-" if value is None else f"{value:.{DIGITS}g}"
+def format_figure(value):
+    """Formats a figure for the tables."""
+    return "-" if value is None else f"{value:.{SIGNIFICANT_DIGITS}g}"
 
 
 def print_tables(results, fits, console=None):
-    """The figures by size, and the slopes."""
+    """Prints the figures by size and their fits."""
     console = console or Console(width=150)
     for name in dict.fromkeys(result.dimension for result in results):
         sizes = sorted({result.size for result in results if result.dimension == name})
@@ -78,10 +78,10 @@
             table.add_column(f"{size:g}", justify="right")
         for column in ("slope", "interval", "exponent", "shape"):
             table.add_column(column, justify="right")
-        for key, meaning in sweep.FIGURES.items():
-            pairs = sweep.values(results, name, key)
-            means = [mean([value for at, value in pairs if at == size]) for size in sizes]
-            table.add_row(meaning, *map(figure, means), *fit_cells(fits.get(name, {}).get(key)))
+        for key, description in sweep.FIGURES.items():
+            points = sweep.values(results, name, key)
+            means = [mean([value for point_size, value in points if point_size == size]) for size in sizes]
+            table.add_row(description, *map(format_figure, means), *fit_cells(fits.get(name, {}).get(key)))
         console.print(table)
     for result in results:
         if result.failure:
@@ -89,55 +89,55 @@
     for result in results:
         for assigner in result.assigners:
             if assigner["withdrawal_why_none"]:
-                why = assigner["withdrawal_why_none"]
+                reason = assigner["withdrawal_why_none"]
                 console.print(
-                    f"{result.dimension} {result.size:g} run {result.run}, {assigner['rank']}: {why}"
+                    f"{result.dimension} {result.size:g} run {result.run}, {assigner['rank']}: {reason}"
                 )
     if references := sorted(result.reference_ms for result in results if result.reference_ms):
-        middle = figure(statistics.median(references))
-        least, most = figure(references[0]), figure(references[-1])
-        console.print(f"the same fixed work took {middle} ms of processor time ({least} to {most})")
-    for name, why in workload.LACKING.items():
-        console.print(f"lacking: {name}: {why}")
+        median = format_figure(statistics.median(references))
+        lowest, highest = format_figure(references[0]), format_figure(references[-1])
+        console.print(f"the reference computation took {median} ms of CPU time ({lowest} to {highest})")
+    for name, reason in workload.LACKING.items():
+        console.print(f"not measured: {name}: {reason}")
 
 
 def mean(numbers):
-    """The mean, or None of nothing."""
+    """The mean; None for an empty list."""
     return sum(numbers) / len(numbers) if numbers else None
 
 
-def fit_cells(found):
-    """A fit's cells of the table."""
-    if found is None:
+def fit_cells(result):
+    """The table cells of a fit."""
+    if result is None:
         return "-", "-", "-", "-"
-    slope, exponent = found.slope, found.exponent
+    slope, exponent = result.slope, result.exponent
     return (
-        figure(slope.value),
-        f"{figure(slope.low)} .. {figure(slope.high)}",
+        format_figure(slope.value),
+        f"{format_figure(slope.low)} .. {format_figure(slope.high)}",
         f"{exponent.value:.2f} ({exponent.low:.2f} .. {exponent.high:.2f})" if exponent else "-",
-        found.shape,
+        result.shape,
     )
 
 
 def plot(path, results):
-    """One row a dimension, one column a figure, every run a dot."""
+    """Plots one row per dimension and one column per figure, with a dot per run."""
     import matplotlib
 
     matplotlib.use("Agg")
     from matplotlib import pyplot
 
     names = list(dict.fromkeys(result.dimension for result in results))
-    shape = len(names), len(PLOTTED)
-    drawing, axes = pyplot.subplots(*shape, figsize=(2.6 * shape[1], 1.7 * shape[0]), squeeze=False)
+    shape = len(names), len(PLOTTED_FIGURES)
+    chart, axes = pyplot.subplots(*shape, figsize=(2.6 * shape[1], 1.7 * shape[0]), squeeze=False)
     for row, name in zip(axes, names, strict=True):
-        for at, key in zip(row, PLOTTED, strict=True):
-            pairs = sweep.values(results, name, key)
-            at.plot([x for x, _ in pairs], [y for _, y in pairs], ".", markersize=3)
-            at.set_ylim(bottom=0)
-            at.tick_params(labelsize=6)
-            at.set_xlabel(name, fontsize=6, labelpad=1)
-    for at, key in zip(axes[0], PLOTTED, strict=True):
-        at.set_title(sweep.FIGURES[key], fontsize=6)
-    drawing.tight_layout(pad=0.4)
-    drawing.savefig(path, dpi=60)
-    pyplot.close(drawing)
+        for axis, key in zip(row, PLOTTED_FIGURES, strict=True):
+            points = sweep.values(results, name, key)
+            axis.plot([x for x, _ in points], [y for _, y in points], ".", markersize=3)
+            axis.set_ylim(bottom=0)
+            axis.tick_params(labelsize=6)
+            axis.set_xlabel(name, fontsize=6, labelpad=1)
+    for axis, key in zip(axes[0], PLOTTED_FIGURES, strict=True):
+        axis.set_title(sweep.FIGURES[key], fontsize=6)
+    chart.tight_layout(pad=0.4)
+    chart.savefig(path, dpi=60)
+    pyplot.close(chart)
--- a/benchmarks/scaling/traffic.py
+++ b/benchmarks/scaling/traffic.py
@@ -1,4 +1,4 @@
-"""Counters of messages and bytes on each link of one assigner, both ways."""
+"""Counters of messages and bytes per link of one assigner, in both directions."""
 
 from dataclasses import dataclass, field
 
@@ -7,7 +7,7 @@
 
 @dataclass(slots=True)
 class LinkCounter:
-    """What passed one kind of link: application bytes, as counted at the hollow end."""
+    """Messages and application bytes on one kind of link, counted at the fake peer."""
 
     bytes_from_assigner: int = 0
     bytes_to_assigner: int = 0
@@ -15,12 +15,12 @@
     messages_to_assigner: int = 0
 
     def received(self, size, messages=1):
-        """Counts what the assigner has sent."""
+        """Counts bytes and messages from the assigner."""
         self.bytes_from_assigner += size
         self.messages_from_assigner += messages
 
     def sent(self, size, messages=1):
-        """Counts what went to the assigner."""
+        """Counts bytes and messages to the assigner."""
         self.bytes_to_assigner += size
         self.messages_to_assigner += messages
 
@@ -36,7 +36,7 @@
 
 @dataclass(slots=True)
 class Traffic:
-    """One counter a link."""
+    """One counter per link."""
 
     relay_calls: LinkCounter = field(default_factory=LinkCounter)
     event_stream: LinkCounter = field(default_factory=LinkCounter)
--- a/benchmarks/scaling/workload.py
+++ b/benchmarks/scaling/workload.py
@@ -1,38 +1,38 @@
-"""Sizes of one measured point, the sweeps over them, and the seeded configuration that follows. No I/O."""
+"""Workload parameters, the dimensions of the sweep, and seeded assigner configurations. No I/O."""
 
 import dataclasses
 import random
 from dataclasses import dataclass
 
 REPORT_PERIOD_S = 1.0  # between a collector's reports, as in examples/assigner.json
-CHANNEL_LINES_PER_S = 2_000.0  # the relay's channel of one assigner, as in examples/assigner.json
-CHANNEL_QUEUE_LINES = 4_000.0  # likewise; more where the platform has to grant more
-QUEUE_LINES_A_PROXY = 26.0  # what cannot be put off has to fit twice at all proxies: as in benchmarks/turn.py
-MESSAGE_HEAD_LINES = 6.0  # what each message costs beside its own lines, likewise
-REAL_ASSIGNERS = 2  # real processes at each point; all further assigners exist in the settings alone
-SOCKETS = 4_096  # descriptors that the configuration grants one assigner
+CHANNEL_LINES_PER_S = 2_000.0  # rate of the relay's channel per assigner, as in examples/assigner.json
+CHANNEL_QUEUE_LINES = 4_000.0  # as in examples/assigner.json; `settings` raises it for many proxies
+QUEUE_LINES_PER_PROXY = 26.0  # undeferrable orders must fit twice for all proxies, as in benchmarks/turn.py
+MESSAGE_HEAD_LINES = 6.0  # fixed cost of each message, as in benchmarks/turn.py
+ASSIGNER_PROCESSES = 2  # processes per point; all other assigners exist only in the settings
+SOCKETS = 4_096  # file descriptor limit of one assigner
 
 
 @dataclass(frozen=True, slots=True)
 class Workload:
-    """One point of a sweep. The defaults are what is held while another dimension varies."""
+    """Parameters of one point. The defaults apply while another dimension varies."""
 
     tasks: int = 1_300
-    proxies: int = 10  # joined to each assigner
-    assigners: int = 130  # in the settings: each orders 1 / assigners of the tasks once the fleet is parted
+    proxies: int = 10  # connected to each assigner
+    assigners: int = 130  # in the settings; in a divided fleet each one manages 1 / assigners of the tasks
     routes: int = 4
     zones: int = 4
-    requests: float = 58.0  # a second at the proxies of one assigner: 76,000 over 1,300
-    list_changes: float = 0.0  # entries of the task list changed a second
-    reloads: float = 0.0  # SIGHUP a second at each assigner
-    restarts: float = 0.0  # tasks restarted a second, in the whole list
-    burst: int = 0  # percent of the tasks restarted at one moment, instead of a drain
-    silent: int = 0  # percent of the tasks held at an assigner that fall silent at one moment, likewise
+    requests: float = 58.0  # per second at the proxies of one assigner: 76,000 over 1,300 assigners
+    list_changes: float = 0.0  # changed task list entries per second
+    reloads: float = 0.0  # SIGHUP per second at each assigner
+    restarts: float = 0.0  # restarted tasks per second, over the whole list
+    burst: int = 0  # percentage of all tasks restarted at once, instead of a drain
+    silent: int = 0  # percentage of an assigner's tasks that stop answering at once, likewise
 
 
 @dataclass(frozen=True, slots=True)
 class Dimension:
-    """A size that varies, its values, and what is held apart from the defaults meanwhile."""
+    """A field that varies, its values, and the parameters held constant meanwhile."""
 
     field: str
     sizes: tuple[float, ...]
@@ -42,12 +42,12 @@
     def workloads(self, sizes=None):
         """The workload of each size."""
         kind = type(getattr(self.held, self.field))
-        return [dataclasses.replace(self.held, **{self.field: kind(s)}) for s in sizes or self.sizes]
+        return [dataclasses.replace(self.held, **{self.field: kind(size)}) for size in sizes or self.sizes]
 
 
 @dataclass(frozen=True, slots=True)
 class FleetDimension:
-    """Assigners, tasks and proxies grow together, ten tasks to an assigner."""
+    """Assigners, tasks and proxies grow together, with ten tasks per assigner."""
 
     sizes: tuple[float, ...]
     field: str = "fleet"
@@ -57,7 +57,8 @@
     def workloads(self, sizes=None):
         """The workload of each size."""
         return [
-            dataclasses.replace(self.held, assigners=int(s), tasks=10 * int(s)) for s in sizes or self.sizes
+            dataclasses.replace(self.held, assigners=int(size), tasks=10 * int(size))
+            for size in sizes or self.sizes
         ]
 
 
@@ -69,10 +70,10 @@
     "assigners": Dimension("assigners", (20, 80, 325, 1_300), unit="assigners in the settings"),
     "routes": Dimension("routes", (4, 50, 400, 4_000), unit="routes"),
     "zones": Dimension("zones", (1, 4, 16, 36), unit="zones"),
-    "requests": Dimension("requests", (16, 64, 256, 1_024), unit="requests a second of one assigner"),
-    "list_changes": Dimension("list_changes", (0.5, 2, 8, 32), unit="list changes a second"),
-    "reloads": Dimension("reloads", (0.5, 2, 4, 8), unit="SIGHUP a second"),
-    "restarts": Dimension("restarts", (0.25, 1, 4, 16), unit="restarts a second"),
+    "requests": Dimension("requests", (16, 64, 256, 1_024), unit="requests per second of one assigner"),
+    "list_changes": Dimension("list_changes", (0.5, 2, 8, 32), unit="list changes per second"),
+    "reloads": Dimension("reloads", (0.5, 2, 4, 8), unit="SIGHUP per second"),
+    "restarts": Dimension("restarts", (0.25, 1, 4, 16), unit="restarts per second"),
     "burst": Dimension("burst", (1, 3, 11, 30), unit="% of all tasks restarted at once"),
     "silent": Dimension("silent", (10, 20, 30, 50), unit="% of its own tasks silent at once"),
     "large_burst": Dimension(
@@ -82,7 +83,8 @@
         "% of 13,000 tasks restarted at once",
     ),
 }
-SWEPT = tuple(name for name in DIMENSIONS if name != "large_burst")  # that one takes as long as all others
+# large_burst takes as long as all others together.
+SWEPT = tuple(name for name in DIMENSIONS if name != "large_burst")
 OPERATORS = Workload(tasks=13_000, proxies=10, assigners=1_300, routes=4_000, zones=36)
 LACKING = {
     "regions": "neither the protocol nor the settings know regions: zones are the only grouping",
@@ -95,42 +97,39 @@
 
 
 def zone_name(number):
-    """The name of a zone."""
     return f"z{number}"
 
 
 def route_name(number):
-    """The name of a route."""
     return f"route{number}"
 
 
 def task_name(number, life=0):
-    """The listed id of a task; its life counts replacements."""
+    """The listed id of a task; `life` counts its replacements."""
     return f"s-{number:05x}{life:03x}"
 
 
 def random_of(seed, *names):
-    """A generator of its own for each use, so that one use does not shift another's draws."""
+    """A separate random generator for each use, so that the uses do not affect each other."""
     return random.Random(":".join(map(str, (seed, *names))))
 
 
-def proxy_ids(workload, rank):
-    """The numbers of the proxies joined to an assigner."""
-    return range(rank * workload.proxies, (rank + 1) * workload.proxies)
+def proxy_ids(params, rank):
+    """The ids of the proxies connected to an assigner."""
+    return range(rank * params.proxies, (rank + 1) * params.proxies)
 
 
-def settings(workload, rank):
-    """The settings of one assigner, as its configuration carries them."""
+def settings(params, rank):
+    """The `settings` of one assigner's configuration."""
     return {
-        "azs": [zone_name(k) for k in range(workload.zones)],
-        "my_zone": zone_name(rank % workload.zones),
-        "balancers": workload.assigners,
+        "azs": [zone_name(k) for k in range(params.zones)],
+        "my_zone": zone_name(rank % params.zones),
+        "balancers": params.assigners,
         "rank": rank,
         "discovery": "push",
         "quantum": 0.005,
         "categories": [
-            {"name": route_name(k), "promise": 1.0 + k % 4, "gain": 1.0 + k % 3}
-            for k in range(workload.routes)
+            {"name": route_name(k), "promise": 1.0 + k % 4, "gain": 1.0 + k % 3} for k in range(params.routes)
         ],
         "ceilings": {"probes": True},
         "contract": {
@@ -142,9 +141,9 @@
         },
         "reporting": {"how": "answers"},
         "specifics": {
-            "agents": workload.assigners * workload.proxies,
+            "agents": params.assigners * params.proxies,
             "egress_per_s": CHANNEL_LINES_PER_S,
-            "queue_cap": max(CHANNEL_QUEUE_LINES, QUEUE_LINES_A_PROXY * workload.proxies),
+            "queue_cap": max(CHANNEL_QUEUE_LINES, QUEUE_LINES_PER_PROXY * params.proxies),
             "head": MESSAGE_HEAD_LINES,
             "report_every": REPORT_PERIOD_S,
             "level_kind": "fraction",
@@ -153,8 +152,8 @@
     }
 
 
-def configuration(workload, rank, seed, listen, relay, discovery, listed):
-    """The file that ROUTER_CONFIG names."""
+def configuration(params, rank, seed, listen, relay, discovery, listed):
+    """The content of the file that ROUTER_CONFIG names."""
     return {
         "name": f"scale-{rank}",
         "listen": listen,
@@ -163,5 +162,5 @@
         "limits": {"sockets": SOCKETS},
         "store": {"address": relay},
         "known": {"generation": 0, "reset": True, "instances": listed},
-        "settings": settings(workload, rank),
+        "settings": settings(params, rank),
     }
