--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of known red tests passes over just these, and no more than it may."""
+"""KNOWN-RED.txt makes exactly the listed tests expected failures, up to its maximum length."""
 
 import pathlib
 import shutil
@@ -7,36 +7,41 @@
 
 import pytest
 
-TESTS = "def test_red():\n    assert False\n\ndef test_green():\n    pass\n"
+TEST_FILE = "def test_red():\n    assert False\n\ndef test_green():\n    pass\n"
 RED, GREEN = "tests/test_it.py::test_red, a fault, issue 1", "tests/test_it.py::test_green, a fault, issue 1"
 
 
 @pytest.mark.parametrize(
-    ("said", "code", "told"),
+    ("list_text", "code", "expected_output"),
     [
         (RED, 0, "KNOWN RED tests/test_it.py::test_red: a fault (issue 1)"),
-        ("", 1, "1 failed, 1 passed"),  # nothing is passed over by itself
-        (f"{RED}\n{GREEN}", 1, "[XPASS(strict)] a fault (issue 1)"),  # mended: its line has to go
-        (f"{RED}\ntests/test_it.py::test_gone, a fault, issue 1", 4, "no test 'tests/test_it.py::test_gone'"),
-        ("tests/test_it.py::test_red, issue 1", 4, "no line `test, cause, issue`"),
-        (f"{RED}\n{RED}", 4, "a second one of its test"),
+        ("", 1, "1 failed, 1 passed"),  # failures of unlisted tests fail the run
+        # A listed test that passes fails the run until its line is removed.
+        (f"{RED}\n{GREEN}", 1, "[XPASS(strict)] a fault (issue 1)"),
+        (
+            f"{RED}\ntests/test_it.py::test_gone, a fault, issue 1",
+            4,
+            "test not found: 'tests/test_it.py::test_gone'",
+        ),
+        ("tests/test_it.py::test_red, issue 1", 4, "malformed line (expected `test, cause, issue`)"),
+        (f"{RED}\n{RED}", 4, "duplicate test"),
         (
             "\n".join(f"tests/test_it.py::test_{k}, a fault, issue 1" for k in range(4)),
             4,
-            "4 lines, 3 at most",
+            "4 lines, at most 3 are allowed",
         ),
     ],
 )
-def test_it_holds_for_just_what_it_names(said, code, told, tmp_path):
+def test_only_listed_tests_are_expected_failures(list_text, code, expected_output, tmp_path):
     (tmp_path / "tests").mkdir()
     shutil.copy(pathlib.Path(__file__).parent / "conftest.py", tmp_path / "tests")
-    (tmp_path / "tests" / "test_it.py").write_text(TESTS)
+    (tmp_path / "tests" / "test_it.py").write_text(TEST_FILE)
     (tmp_path / "pytest.ini").write_text("[pytest]\ntestpaths = tests\n")
-    (tmp_path / "KNOWN-RED.txt").write_text(said)
-    ended = subprocess.run(
+    (tmp_path / "KNOWN-RED.txt").write_text(list_text)
+    result = subprocess.run(
         [sys.executable, "-m", "pytest", "-q", "-p", "no:cacheprovider"],
         cwd=tmp_path,
         capture_output=True,
         text=True,
     )
-    assert ended.returncode == code and told in ended.stdout + ended.stderr
+    assert result.returncode == code and expected_output in result.stdout + result.stderr
--- a/tests/test_time_limit.py
+++ b/tests/test_time_limit.py
@@ -1,4 +1,4 @@
-"""The limit that pyproject.toml sets for every test: a test that hangs fails, and says where it hung."""
+"""The time limit from pyproject.toml for every test: a hanging test fails and shows where it hangs."""
 
 import pathlib
 import re
@@ -7,8 +7,8 @@
 import sys
 
 PROJECT = pathlib.Path(__file__).parent.parent / "pyproject.toml"
-LONGEST = 600  # s; a limit beyond it would be none for whoever waits for the run
-HANGING = """
+MAX_LIMIT = 600  # s; a longer limit is no help to someone waiting for the run
+HANGING_TESTS = """
 import os, signal, threading
 
 def wait_for_nothing():
@@ -21,7 +21,7 @@
     threading.Thread(target=wait_in_a_thread, daemon=True).start()
     wait_for_nothing()
 
-def test_that_hears_no_signal():
+def test_with_blocked_signal():
     signal.pthread_sigmask(signal.SIG_BLOCK, [signal.SIGALRM])
     wait_for_nothing()
 
@@ -31,33 +31,33 @@
 
 
 def run_hanging(tmp_path, *options):
-    """The tests above under the project's own configuration, with shorter limits."""
+    """Runs HANGING_TESTS with the project's configuration and the given options."""
     shutil.copy(PROJECT, tmp_path)
     (tmp_path / "tests").mkdir()
-    (tmp_path / "tests" / "test_hanging.py").write_text(HANGING)
+    (tmp_path / "tests" / "test_hanging.py").write_text(HANGING_TESTS)
     command = [sys.executable, "-m", "pytest", "-p", "no:cacheprovider", *options]
-    ran = subprocess.run(command, cwd=tmp_path, capture_output=True, text=True)
-    return ran.returncode, ran.stdout + ran.stderr
+    result = subprocess.run(command, cwd=tmp_path, capture_output=True, text=True)
+    return result.returncode, result.stdout + result.stderr
 
 
-def test_a_test_that_hangs_fails_by_its_name_with_all_stacks_and_the_run_goes_on(tmp_path):
-    code, said = run_hanging(
-        tmp_path, "-o", "timeout=1", "--deselect", "tests/test_hanging.py::test_that_hears_no_signal"
+def test_hanging_test_fails_with_all_stacks_and_the_run_continues(tmp_path):
+    code, output = run_hanging(
+        tmp_path, "-o", "timeout=1", "--deselect", "tests/test_hanging.py::test_with_blocked_signal"
     )
-    assert code == 1 and "1 failed, 1 passed" in said
-    assert re.search(r"FAILED tests/test_hanging.py::test_that_hangs .*Timeout", said)
-    assert "wait_for_nothing" in said and "wait_in_a_thread" in said
+    assert code == 1 and "1 failed, 1 passed" in output
+    assert re.search(r"FAILED tests/test_hanging.py::test_that_hangs .*Timeout", output)
+    assert "wait_for_nothing" in output and "wait_in_a_thread" in output
 
 
-def test_a_hang_that_no_signal_handler_can_end_ends_the_run_with_all_stacks(tmp_path):
-    code, said = run_hanging(tmp_path, "-o", "faulthandler_timeout=1", "-k", "hears_no_signal")
-    assert code == 1 and "Timeout" in said
-    assert "in wait_for_nothing" in said and "in test_that_hears_no_signal" in said
+def test_hang_with_blocked_signals_ends_the_run_with_all_stacks(tmp_path):
+    code, output = run_hanging(tmp_path, "-o", "faulthandler_timeout=1", "-k", "blocked_signal")
+    assert code == 1 and "Timeout" in output
+    assert "in wait_for_nothing" in output and "in test_with_blocked_signal" in output
 
 
-def test_every_test_has_a_limit(pytestconfig, request):
+def test_every_test_has_a_time_limit(pytestconfig, request):
     limit, dump = float(pytestconfig.getini("timeout")), float(pytestconfig.getini("faulthandler_timeout"))
-    assert 0 < limit < dump < LONGEST
+    assert 0 < limit < dump < MAX_LIMIT
     assert pytestconfig.getini("timeout_method") == "signal"
     assert pytestconfig.getini("faulthandler_exit_on_timeout")
     unlimited = [item.nodeid for item in request.session.items if item.get_closest_marker("timeout")]
