--- a/benchmarks/advice.py
+++ b/benchmarks/advice.py
@@ -1,18 +1,19 @@
-"""How fast, how dear: from an order to the last client's reading of it, over SASP on loopback.
+"""Measures latency and cost from an order until the last client has read it, over SASP on loopback.
 
     python -m benchmarks.advice                       # 1, 10, 100, 1000 clients x 30, 120, 1000 members
     python -m benchmarks.advice --clients 100 --members 120 --json result.json
 
-The fronts run in a process of their own on one core, with the book and the sessions as in service; readers in
-further processes look only at what they must. In the same run a bare asyncio server writes the same bytes to
-as many connections, and answers the same polls: figures are told as ratios to that. `step` is the time of the
-Brain's step with as many followers as clients, against none; `lag` is how late the fronts' event loop turns.
+The fronts run in their own process on one core, with snapshots and sessions as in production; readers in
+other processes parse only what they need. As the baseline ("bare"), a plain asyncio server in the same run
+writes the same bytes to as many connections and answers the same polls; figures are given as ratios to it.
+`step` is the time of the Brain's step with as many followers as clients, relative to none; `lag` is the delay
+of the fronts' event loop.
 
-    python -m benchmarks.advice --flood               # 1,000 connections of noise against a room of 64
+    python -m benchmarks.advice --flood               # 1,000 noise connections, room for 64
 
-sends what can't be read (headers that promise 1 MiB, half headers, noise, single bytes) from connections that
-come again as soon as they are closed, for ten seconds; tells how late the loop turned before and meanwhile,
-what memory and descriptors it took, and when the one follower was told.
+sends unreadable data (headers that announce 1 MiB, partial headers, noise, single bytes) for ten seconds from
+connections that are reopened as soon as they are closed. It reports the delay of the event loop before and
+during the flood, the memory and descriptors used, and the latency of the updates to the one follower.
 """
 
 import asyncio
@@ -37,39 +38,39 @@
 from garnetpaddle.sasp import GetWeights, GroupName, MemberData, MessageDecoder, Register, SetLbState, codec
 from garnetpaddle.sasp.session import Session
 
-UPDATES, READERS = 12, 4
+ORDER_COUNT, READER_PROCESSES = 12, 4
 HEADER = struct.Struct("!HHBII")
-ACCURACY = 0.01  # of a quantile
-GROUP = b"status"
+QUANTILE_ACCURACY = 0.01  # relative accuracy of the quantiles
+GROUP_NAME = b"status"
 
 
-def now():
-    """Tenths of a ms on a clock that all processes share."""
+def now_ticks():
+    """0.1 ms ticks of the monotonic clock, which all processes share."""
     return int(time.monotonic() * 10_000)
 
 
-def places(members):
+def member_addresses(members):
     return {f"task-{k:05}": (f"10.{k >> 16}.{k >> 8 & 255}.{k & 255}", 5_000) for k in range(members)}
 
 
-def lines(members, n):
-    """Orders that change every line; the first one's weight tells which order it was."""
-    tasks = list(places(members))
-    return [gp.SetLine(1, tasks[0], (100 + n) / 1_000)] + [
-        gp.SetLine(1, task, 0.8 + (k * 7 + n * 3) % 40 / 100) for k, task in enumerate(tasks[1:])
+def weight_orders(members, order):
+    """Orders that change every weight; the weight of the first task encodes the order number."""
+    tasks = list(member_addresses(members))
+    return [gp.SetLine(1, tasks[0], (100 + order) / 1_000)] + [
+        gp.SetLine(1, task, 0.8 + (k * 7 + order * 3) % 40 / 100) for k, task in enumerate(tasks[1:])
     ]
 
 
-def resident():
+def resident_kb():
     with open("/proc/self/status") as file:
         return next(int(x.split()[1]) for x in file if x.startswith("VmRSS"))
 
 
-class Lag:
-    """How late the event loop turns, sampled each millisecond."""
+class LoopLag:
+    """The delay of the event loop, sampled every millisecond."""
 
     def __init__(self):
-        self.sketch = DDSketch(ACCURACY)
+        self.sketch = DDSketch(QUANTILE_ACCURACY)
 
     async def run(self):
         while True:
@@ -78,12 +79,12 @@
             self.sketch.add(max(1e-6, time.monotonic() - due))
 
 
-async def fronts(pipe, clients, members):
-    """The server: tells its port, then an order for each word of the parent's, its costs at the end."""
+async def run_fronts(pipe, clients, members):
+    """Runs the server: sends its port, then executes the commands of the parent process."""
     from garnetpaddle.advice import session
     from garnetpaddle.fronts import ConnectionManager
 
-    session.MAX_MESSAGES = 10**9  # the limit on messages is not what is measured
+    session.MAX_MESSAGES = 10**9  # the message limit is not part of the measurement
     uids = [f"lb{k:04}" for k in range(clients)]
     registry = SessionRegistry(
         {"status": GroupRoute(0, "repeatable")},
@@ -93,214 +94,233 @@
         150_000,
         -(10**9),
     )
-    snapshot_builder, publisher, heard = SnapshotBuilder(), SnapshotPublisher(), []
-    manager = ConnectionManager(publisher, now, heard.append, clients + 64, 64 << 20)
-    lists = tuple(gp.TaskLine(task, "z", 0, "ready", 1.0, 0) for task in places(members))
-    publisher.publish(snapshot_builder.update(now(), [gp.ListHeard("full", lists)], [], places(members)))
-    at = await manager.open(
+    snapshot_builder, publisher, manager_events = SnapshotBuilder(), SnapshotPublisher(), []
+    manager = ConnectionManager(publisher, now_ticks, manager_events.append, clients + 64, 64 << 20)
+    task_lines = tuple(gp.TaskLine(task, "z", 0, "ready", 1.0, 0) for task in member_addresses(members))
+    publisher.publish(
+        snapshot_builder.update(
+            now_ticks(), [gp.ListHeard("full", task_lines)], [], member_addresses(members)
+        )
+    )
+    address = await manager.open(
         ("127.0.0.1", 0),
         lambda n, host, at: (Session(registry, n, 50, 10_000, members, host, at), MessageDecoder(4 << 20)),
     )
-    walking = asyncio.create_task(manager.run())
-    lag = Lag()
-    before = resident()
-    pipe.send(at[1])
+    managing = asyncio.create_task(manager.run())
+    lag = LoopLag()
+    memory_before_kb = resident_kb()
+    pipe.send(address[1])
     loop = asyncio.get_running_loop()
-    sampling, used, ordered = None, 0.0, 0
-    while (word := await loop.run_in_executor(None, pipe.recv)) != "end":
-        if word == "joined":
-            pipe.send(sum(isinstance(e, gp.ProxyJoined) for e in heard))
-        elif word == "bind":
-            events, heard[:] = list(heard), []
+    sampling, cpu_started_at, sent_at = None, 0.0, 0
+    while (command := await loop.run_in_executor(None, pipe.recv)) != "end":
+        if command == "joined":
+            pipe.send(sum(isinstance(event, gp.ProxyJoined) for event in manager_events))
+        elif command == "bind":
+            events, manager_events[:] = list(manager_events), []
             binds = [gp.Bind(FIRST_FOLLOWER_NUMBER + k, 1) for k in range(clients)]
-            publisher.publish(snapshot_builder.update(now(), events, [*lines(members, 0), *binds]))
-            pipe.send(len([e for e in events if isinstance(e, gp.ProxyJoined)]))
-        elif word == "memory":
-            pipe.send(resident() - before)
-            sampling, used = sampling or asyncio.create_task(lag.run()), time.process_time()
-        elif word == "sample":
-            lag.sketch = DDSketch(ACCURACY)
+            publisher.publish(
+                snapshot_builder.update(now_ticks(), events, [*weight_orders(members, 0), *binds])
+            )
+            pipe.send(len([event for event in events if isinstance(event, gp.ProxyJoined)]))
+        elif command == "memory":
+            pipe.send(resident_kb() - memory_before_kb)
+            sampling, cpu_started_at = sampling or asyncio.create_task(lag.run()), time.process_time()
+        elif command == "sample":
+            lag.sketch = DDSketch(QUANTILE_ACCURACY)
             pipe.send("sampling")
-        elif word == "descriptors":
+        elif command == "descriptors":
             pipe.send(len(os.listdir("/proc/self/fd")))
-        elif word == "used":
+        elif command == "used":
             pipe.send(
                 (
-                    (time.process_time() - used),
+                    (time.process_time() - cpu_started_at),
                     lag.sketch.get_quantile_value(0.99) or 0.0,
                     sum(connection.written for connection in manager.connections.values()),
                 )
             )
         else:
-            ordered = time.monotonic()
-            publisher.publish(snapshot_builder.update(now(), [], lines(members, word)))
-            pipe.send(ordered)
-    walking.cancel()
+            sent_at = time.monotonic()
+            publisher.publish(snapshot_builder.update(now_ticks(), [], weight_orders(members, command)))
+            pipe.send(sent_at)
+    managing.cancel()
     if sampling:
         sampling.cancel()
     manager.close()
 
 
-async def bare(pipe, clients, size, reply):
-    """The baseline: the same bytes to all connections at a word of the parent's; polls get `reply` bytes."""
-    writers, answer = [], bytes(reply)
+async def run_baseline(pipe, clients, size, reply_size):
+    """Runs the baseline: writes `size` bytes to all connections per order; polls get `reply_size` bytes."""
+    writers, answer = [], bytes(reply_size)
 
-    async def serve(reader, writer):
+    async def handle_connection(reader, writer):
         writers.append(writer)
         try:
             while chunk := await reader.read(65_536):
-                if reply:
+                if reply_size:
                     for _ in range(max(1, len(chunk) // 29)):
                         writer.write(answer)
         except (OSError, asyncio.CancelledError):
             pass
 
-    server = await asyncio.start_server(serve, "127.0.0.1", 0, backlog=2_048)
+    server = await asyncio.start_server(handle_connection, "127.0.0.1", 0, backlog=2_048)
     pipe.send(server.sockets[0].getsockname()[1])
-    loop, used = asyncio.get_running_loop(), 0.0
-    while (word := await loop.run_in_executor(None, pipe.recv)) != "end":
-        if word == "memory":
+    loop, cpu_started_at = asyncio.get_running_loop(), 0.0
+    while (command := await loop.run_in_executor(None, pipe.recv)) != "end":
+        if command == "memory":
             while len(writers) < clients:
                 await asyncio.sleep(0.01)
-            used = time.process_time()
+            cpu_started_at = time.process_time()
             pipe.send(0)
-        elif word == "used":
-            pipe.send((time.process_time() - used, 0.0, 0))
+        elif command == "used":
+            pipe.send((time.process_time() - cpu_started_at, 0.0, 0))
         else:
-            data, at = HEADER.pack(0x2010, 13, 1, size, word) + bytes(size - 13), time.monotonic()
+            data, sent_at = HEADER.pack(0x2010, 13, 1, size, command) + bytes(size - 13), time.monotonic()
             for writer in writers:
                 writer.write(data)
-            pipe.send(at)
+            pipe.send(sent_at)
 
 
-def serve(pipe, what, *given):
+def server_process(pipe, target, *arguments):
     os.sched_setaffinity(0, {min(os.sched_getaffinity(0))})
-    files = resource.getrlimit(resource.RLIMIT_NOFILE)[1]
-    resource.setrlimit(resource.RLIMIT_NOFILE, (files, files))
-    asyncio.run({"fronts": fronts, "bare": bare}[what](pipe, *given))
+    descriptor_limit = resource.getrlimit(resource.RLIMIT_NOFILE)[1]
+    resource.setrlimit(resource.RLIMIT_NOFILE, (descriptor_limit, descriptor_limit))
+    asyncio.run({"fronts": run_fronts, "bare": run_baseline}[target](pipe, *arguments))
 
 
 class Reader(asyncio.Protocol):
-    """Reads messages and notes when each order's came; looks at no more than it must. plain: the bare
-    server's messages, whose id is the order."""
+    """Records the time at which each order arrives; parses as little as possible.
 
-    def __init__(self, seen, plain, opening):
-        self.seen, self.plain, self.opening, self.rest, self.at = seen, plain, opening, bytearray(), 0
+    baseline: reads the messages of the baseline server, whose message id is the order number."""
+
+    def __init__(self, received, baseline, opening):
+        self.received, self.baseline, self.opening, self.buffer, self.at = (
+            received,
+            baseline,
+            opening,
+            bytearray(),
+            0,
+        )
 
     def connection_made(self, transport):
         if self.opening:
             transport.write(self.opening)
 
     def data_received(self, data):
-        self.rest += data
-        while len(self.rest) >= 13:
-            size = int.from_bytes(self.rest[5:9], "big")
-            if len(self.rest) < size:
+        self.buffer += data
+        while len(self.buffer) >= 13:
+            size = int.from_bytes(self.buffer[5:9], "big")
+            if len(self.buffer) < size:
                 return
-            if self.plain:
-                self.seen.append((int.from_bytes(self.rest[9:13], "big"), time.monotonic()))
-            elif self.rest[13:15] == b"\x10\x40":
-                group = 13 + 6 + 6  # header, message, group of weights
-                name = int.from_bytes(self.rest[group + 2 : group + 4], "big")
+            if self.baseline:
+                self.received.append((int.from_bytes(self.buffer[9:13], "big"), time.monotonic()))
+            elif self.buffer[13:15] == b"\x10\x40":
+                group = 13 + 6 + 6  # after the header, the message and the head of the weights group
+                name = int.from_bytes(self.buffer[group + 2 : group + 4], "big")
                 member = group + name + 4
-                weight = member + int.from_bytes(self.rest[member + 2 : member + 4], "big") + 2
-                told = int.from_bytes(self.rest[weight : weight + 2], "big")
-                self.seen.append((round(told / 10) - 100, time.monotonic()))
-            del self.rest[:size]
-
-
-async def reads(pipe, port, mine, members, plain):
-    """Opens its part of the connections; tells the parent of what was read when all have read an order."""
-    data = tuple(MemberData.of(*at) for at in places(members).values()) if not plain else ()
-    seen, loop = [], asyncio.get_running_loop()
-    for uid in mine:
-        name = GroupName(uid.encode(), GROUP)
+                weight = member + int.from_bytes(self.buffer[member + 2 : member + 4], "big") + 2
+                weight_value = int.from_bytes(self.buffer[weight : weight + 2], "big")
+                self.received.append((round(weight_value / 10) - 100, time.monotonic()))
+            del self.buffer[:size]
+
+
+async def run_reader(pipe, port, uids, members, baseline):
+    """Opens its share of the connections; sends the parent the arrival times once all have read an order."""
+    data = tuple(MemberData.of(*at) for at in member_addresses(members).values()) if not baseline else ()
+    received, loop = [], asyncio.get_running_loop()
+    for uid in uids:
+        group_name = GroupName(uid.encode(), GROUP_NAME)
         opening = (
             b""
-            if plain
+            if baseline
             else codec.encode(SetLbState(1, uid.encode(), 9, True, False, False))
-            + codec.encode(Register(2, True, ((name, data),)))
+            + codec.encode(Register(2, True, ((group_name, data),)))
+        )
+        await loop.create_connection(
+            lambda opening=opening: Reader(received, baseline, opening), "127.0.0.1", port
         )
-        await loop.create_connection(lambda opening=opening: Reader(seen, plain, opening), "127.0.0.1", port)
     pipe.send("open")
-    while (word := await loop.run_in_executor(None, pipe.recv)) != "end":
-        until = time.monotonic() + 60
-        while sum(n == word for n, _ in seen) < len(mine) and time.monotonic() < until:
+    while (command := await loop.run_in_executor(None, pipe.recv)) != "end":
+        deadline = time.monotonic() + 60
+        while sum(order == command for order, _ in received) < len(uids) and time.monotonic() < deadline:
             await asyncio.sleep(0.002)
-        pipe.send([at for n, at in seen if n == word])
-        seen.clear()
+        pipe.send([at for order, at in received if order == command])
+        received.clear()
 
 
-async def polls(pipe, port, members, plain, reply):
-    """Ten connections that poll one after the other for a second; how many were answered."""
+async def run_poller(pipe, port, members, baseline, reply_size):
+    """Polls on one connection for a second; sends the parent the number of answers."""
     count, stop = 0, time.monotonic() + 1.0
 
-    async def poll(k):
+    async def poll_baseline(k):
         nonlocal count
         reader, writer = await asyncio.open_connection("127.0.0.1", port, limit=4 << 20)
-        name = GroupName(f"lb{k:04}".encode(), GROUP)
-        ask = codec.encode(GetWeights(9, (name,)))
+        group_name = GroupName(f"lb{k:04}".encode(), GROUP_NAME)
+        request = codec.encode(GetWeights(9, (group_name,)))
         while time.monotonic() < stop:
-            writer.write(ask[:29])
-            await reader.readexactly(reply)
+            writer.write(request[:29])
+            await reader.readexactly(reply_size)
             count += 1
 
-    async def follow(k):
+    async def poll_fronts(k):
         nonlocal count
         reader, writer = await asyncio.open_connection("127.0.0.1", port, limit=4 << 20)
-        name = GroupName(f"lb{k:04}".encode(), GROUP)
-        data = tuple(MemberData.of(*at) for at in places(members).values())
-        writer.write(codec.encode(Register(2, True, ((name, data),))))
+        group_name = GroupName(f"lb{k:04}".encode(), GROUP_NAME)
+        data = tuple(MemberData.of(*at) for at in member_addresses(members).values())
+        writer.write(codec.encode(Register(2, True, ((group_name, data),))))
         await reader.readexactly(18)
         pipe.send("registered")
         await asyncio.get_running_loop().run_in_executor(None, pipe.recv)
-        ask = codec.encode(GetWeights(9, (name,)))
+        request = codec.encode(GetWeights(9, (group_name,)))
         nonlocal stop
         stop = time.monotonic() + 1.0
         while time.monotonic() < stop:
-            writer.write(ask)
+            writer.write(request)
             head = await reader.readexactly(13)
             await reader.readexactly(int.from_bytes(head[5:9], "big") - 13)
             count += 1
 
-    if plain:
-        await asyncio.gather(*(poll(k) for k in range(1)))
+    if baseline:
+        await asyncio.gather(*(poll_baseline(k) for k in range(1)))
     else:
-        await follow(0)
+        await poll_fronts(0)
     pipe.send(count)
 
 
-def run(what, *given):
-    asyncio.run(what(*given))
+def run_async(target, *arguments):
+    asyncio.run(target(*arguments))
 
 
-def begin(target, *given):
-    ours, theirs = multiprocessing.Pipe()
-    process = multiprocessing.get_context("fork").Process(target=target, args=(theirs, *given), daemon=True)
+def start_process(target, *arguments):
+    parent_pipe, child_pipe = multiprocessing.Pipe()
+    process = multiprocessing.get_context("fork").Process(
+        target=target, args=(child_pipe, *arguments), daemon=True
+    )
     process.start()
-    return ours, process
+    return parent_pipe, process
 
 
-def read_by(pipe, *given):
+def reader_process(pipe, *arguments):
     os.sched_setaffinity(0, set(sorted(os.sched_getaffinity(0))[1:]) or os.sched_getaffinity(0))
-    run(reads, pipe, *given)
+    run_async(run_reader, pipe, *arguments)
 
 
-def polled_by(pipe, *given):
+def poller_process(pipe, *arguments):
     os.sched_setaffinity(0, set(sorted(os.sched_getaffinity(0))[1:]) or os.sched_getaffinity(0))
-    run(polls, pipe, *given)
+    run_async(run_poller, pipe, *arguments)
 
 
-def pushes(clients, members, plain, size=0):
-    """One server and its readers through UPDATES orders: figures of each."""
-    server, process = begin(serve, *(("bare", clients, size, 0) if plain else ("fronts", clients, members)))
+def measure_pushes(clients, members, baseline, size=0):
+    """Runs a server and its readers through ORDER_COUNT orders; returns the figures."""
+    server, process = start_process(
+        server_process, *(("bare", clients, size, 0) if baseline else ("fronts", clients, members))
+    )
     port, uids = server.recv(), [f"lb{k:04}" for k in range(clients)]
-    count = min(READERS, clients)
-    readers = [begin(read_by, port, uids[k::count], members, plain) for k in range(count)]
+    count = min(READER_PROCESSES, clients)
+    readers = [start_process(reader_process, port, uids[k::count], members, baseline) for k in range(count)]
     for pipe, _ in readers:
         pipe.recv()
     memory = 0
-    if not plain:
+    if not baseline:
         joined = 0
         while joined < clients:
             time.sleep(0.05)
@@ -314,42 +334,44 @@
             pipe.recv()
     server.send("memory")
     memory = server.recv()
-    each, last = DDSketch(ACCURACY), DDSketch(ACCURACY)
-    for n in range(1, UPDATES + 1):
-        server.send(n)
-        at = server.recv()
+    latencies, last_latencies = DDSketch(QUANTILE_ACCURACY), DDSketch(QUANTILE_ACCURACY)
+    for order in range(1, ORDER_COUNT + 1):
+        server.send(order)
+        sent_at = server.recv()
         for pipe, _ in readers:
-            pipe.send(n)
-        got = [x - at for pipe, _ in readers for x in pipe.recv()]
-        if len(got) < clients:
-            raise SystemExit(f"{clients - len(got)} of {clients} readers never saw order {n}")
-        for wait in got:
-            each.add(max(wait, 1e-6))
-        last.add(max(got))
+            pipe.send(order)
+        order_latencies = [received_at - sent_at for pipe, _ in readers for received_at in pipe.recv()]
+        if len(order_latencies) < clients:
+            raise SystemExit(f"{clients - len(order_latencies)} of {clients} readers never saw order {order}")
+        for latency in order_latencies:
+            latencies.add(max(latency, 1e-6))
+        last_latencies.add(max(order_latencies))
         time.sleep(0.05)
     server.send("used")
-    used, lag, written = server.recv()
+    cpu_seconds, lag, written = server.recv()
     server.send("end")
     for pipe, reader in readers:
         pipe.send("end")
         reader.join(5)
     process.join(5)
     return {
-        "median": each.get_quantile_value(0.5),
-        "p99": each.get_quantile_value(0.99),
-        "last_median": last.get_quantile_value(0.5),
-        "cpu": used / UPDATES,
+        "median": latencies.get_quantile_value(0.5),
+        "p99": latencies.get_quantile_value(0.99),
+        "last_median": last_latencies.get_quantile_value(0.5),
+        "cpu": cpu_seconds / ORDER_COUNT,
         "memory_kb": memory / clients,
         "lag_p99": lag,
         "written": written,
     }
 
 
-def poll_rate(members, plain, reply):
-    server, process = begin(serve, *(("bare", 1, 13, reply) if plain else ("fronts", 1, members)))
+def measure_polls(members, baseline, reply_size):
+    server, process = start_process(
+        server_process, *(("bare", 1, 13, reply_size) if baseline else ("fronts", 1, members))
+    )
     port = server.recv()
-    pipe, poller = begin(polled_by, port, members, plain, reply)
-    if not plain:
+    pipe, poller = start_process(poller_process, port, members, baseline, reply_size)
+    if not baseline:
         pipe.recv()
         server.send("bind")
         server.recv()
@@ -361,8 +383,8 @@
     return count
 
 
-def step(clients, members, rounds=40):
-    """Time of the Brain's batch of sums, with and without followers, in turns; the medians."""
+def measure_brain_step(clients, members, rounds=40):
+    """Median times of the Brain's step after a batch of sums, without and with followers, run alternately."""
     terms = gp.Terms(
         routes=(gp.Route(1, 12_000),),
         list_mode="push",
@@ -388,66 +410,67 @@
             0,
             [
                 gp.ListHeard(
-                    "full", tuple(gp.TaskLine(task, "z", 0, "ready", 1.0, 0) for task in places(members))
+                    "full",
+                    tuple(gp.TaskLine(task, "z", 0, "ready", 1.0, 0) for task in member_addresses(members)),
                 )
             ],
         )
-        brain.handle(0, [gp.ProxyJoined(p, 1.0, True, "z") for p in range(150)])
+        brain.handle(0, [gp.ProxyJoined(proxy, 1.0, True, "z") for proxy in range(150)])
         brain.handle(
             0, [gp.ProxyJoined(FIRST_FOLLOWER_NUMBER + k, 1.0, True, "z", True) for k in range(followers)]
         )
         brains.append(brain)
-    for n in range(1, rounds + 1):
-        for brain, took in zip(brains, times, strict=True):
-            at = n * 20_000
-            brain.handle(at - 9_000, [gp.Applied(p, brain.mark, 100) for p in range(150)])
+    for round_number in range(1, rounds + 1):
+        for brain, durations in zip(brains, times, strict=True):
+            now = round_number * 20_000
+            brain.handle(now - 9_000, [gp.Applied(proxy, brain.mark, 100) for proxy in range(150)])
             brain.handle(
-                at,
+                now,
                 [
-                    gp.TaskSums(task, "z", 20, 0, 1_000.0 + (k * n) % 900, 10_000, {})
-                    for k, task in enumerate(places(members))
+                    gp.TaskSums(task, "z", 20, 0, 1_000.0 + (k * round_number) % 900, 10_000, {})
+                    for k, task in enumerate(member_addresses(members))
                 ],
             )
-            begun = time.perf_counter()
-            brain.handle(at + 1_500, [])
-            took.append(time.perf_counter() - begun)
-    return [sorted(took)[len(took) // 2] for took in times]
+            started_at = time.perf_counter()
+            brain.handle(now + 1_500, [])
+            durations.append(time.perf_counter() - started_at)
+    return [sorted(durations)[len(durations) // 2] for durations in times]
 
 
-async def noise(pipe, port, count, seconds):
-    """So many connections at a time, each with something else that can't be read."""
-    until, made = time.monotonic() + seconds, 0
-    kinds = [bytes.fromhex("2010000d0100100000000000ff"), b"\x20\x10", b"", os.urandom(300)]
+async def send_noise(pipe, port, count, seconds):
+    """Keeps `count` connections open at a time, which send different kinds of unreadable data."""
+    deadline, connection_count = time.monotonic() + seconds, 0
+    noise_kinds = [bytes.fromhex("2010000d0100100000000000ff"), b"\x20\x10", b"", os.urandom(300)]
 
-    async def one(k):
-        nonlocal made
-        while time.monotonic() < until:
+    async def send_repeatedly(k):
+        nonlocal connection_count
+        while time.monotonic() < deadline:
             try:
                 reader, writer = await asyncio.open_connection("127.0.0.1", port)
-                made += 1
-                for byte in kinds[k % 4] if k % 8 else b"\x20\x10\x00\x0d\x01" * 4:
+                connection_count += 1
+                for byte in noise_kinds[k % 4] if k % 8 else b"\x20\x10\x00\x0d\x01" * 4:
                     writer.write(bytes([byte])) if k % 8 == 0 else None
                 if k % 8:
-                    writer.write(kinds[k % 4] * 4)
-                await asyncio.wait_for(reader.read(), max(0.01, until - time.monotonic()))
+                    writer.write(noise_kinds[k % 4] * 4)
+                await asyncio.wait_for(reader.read(), max(0.01, deadline - time.monotonic()))
                 writer.transport.abort()
             except (OSError, TimeoutError):
                 await asyncio.sleep(0.01)
 
-    await asyncio.gather(*(one(k) for k in range(count)))
-    pipe.send(made)
+    await asyncio.gather(*(send_repeatedly(k) for k in range(count)))
+    pipe.send(connection_count)
 
 
-def noise_by(pipe, *given):
+def noise_process(pipe, *arguments):
     os.sched_setaffinity(0, set(sorted(os.sched_getaffinity(0))[1:]) or os.sched_getaffinity(0))
-    run(noise, pipe, *given)
+    run_async(send_noise, pipe, *arguments)
 
 
-def flood(connections=1_000, seconds=10):
-    """The figures of a flood beside one follower of 120 members that gets an order each half second."""
-    server, process = begin(serve, "fronts", 1, 120)
+def measure_flood(connections=1_000, seconds=10):
+    """Measures without and with a flood, next to one follower of 120 members with an order every 0.5 s."""
+    server, process = start_process(server_process, "fronts", 1, 120)
     port = server.recv()
-    reader, reading = begin(read_by, port, ["lb0000"], 120, False)
+    reader, reader_handle = start_process(reader_process, port, ["lb0000"], 120, False)
     reader.recv()
     time.sleep(0.2)
     server.send("bind")
@@ -457,57 +480,65 @@
     rows = []
     for flooded in (False, True):
         server.send("memory")
-        before = server.recv()
+        memory_before_kb = server.recv()
         server.send("sample")
         server.recv()
-        makers = [begin(noise_by, port, connections // 4, seconds) for _ in range(4)] if flooded else []
-        waits = []
-        for n in range(1, seconds * 2 - 1):
-            server.send(n + 20 * flooded)
-            at = server.recv()
-            reader.send(n + 20 * flooded)
-            waits += [x - at for x in reader.recv()]
+        noise_makers = (
+            [start_process(noise_process, port, connections // 4, seconds) for _ in range(4)]
+            if flooded
+            else []
+        )
+        latencies = []
+        for order in range(1, seconds * 2 - 1):
+            server.send(order + 20 * flooded)
+            sent_at = server.recv()
+            reader.send(order + 20 * flooded)
+            latencies += [received_at - sent_at for received_at in reader.recv()]
             time.sleep(0.4)
         server.send("used")
         _, lag, _ = server.recv()
         server.send("memory")
-        after = server.recv()
+        memory_after_kb = server.recv()
         server.send("descriptors")
         rows.append(
             {
                 "flooded": flooded,
                 "lag_p99": lag,
-                "told_worst": max(waits),
-                "told": len(waits),
-                "kb": after - before,
+                "told_worst": max(latencies),
+                "told": len(latencies),
+                "kb": memory_after_kb - memory_before_kb,
                 "descriptors": server.recv(),
-                "connections": sum(pipe.recv() for pipe, _ in makers),
+                "connections": sum(pipe.recv() for pipe, _ in noise_makers),
             }
         )
-        for _, maker in makers:
-            maker.join(5)
+        for _, noise_maker in noise_makers:
+            noise_maker.join(5)
     server.send("end")
     reader.send("end")
     process.join(5)
-    reading.join(5)
+    reader_handle.join(5)
     return rows
 
 
 @click.command()
-@click.option("--flood", "flooded", is_flag=True, help="Measure a flood instead.")
-@click.option("--clients", default="1,10,100,1000", help="How many, in turn.")
-@click.option("--members", default="30,120,1000", help="Of each client's group, in turn.")
-@click.option("--json", "path", help="Write the figures there as well.")
+@click.option(
+    "--flood", "flooded", is_flag=True, help="Measure the fronts under a flood of unreadable data instead."
+)
+@click.option("--clients", default="1,10,100,1000", help="Comma-separated numbers of clients.")
+@click.option(
+    "--members", default="30,120,1000", help="Comma-separated numbers of members in each client's group."
+)
+@click.option("--json", "path", help="Also write the figures to this file.")
 def main(flooded, clients, members, path):
-    """Measures the fronts of weight advice; prints a table."""
-    logging.getLogger("asyncio").setLevel(logging.ERROR)  # of writes to what the other side has closed
+    """Measures the fronts of the weight advice and prints a table."""
+    logging.getLogger("asyncio").setLevel(logging.ERROR)  # hides warnings about writes to closed connections
     structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(logging.ERROR))
     if flooded:
-        for row in (rows := flood()):
+        for row in (rows := measure_flood()):
             print(
-                f"{'flooded' if row['flooded'] else 'quiet':8} loop late, 99th: "
+                f"{'flooded' if row['flooded'] else 'quiet':8} event loop delay, p99: "
                 f"{row['lag_p99'] * 1e3:.2f} ms; the "
-                f"follower told {row['told']} times, worst after {row['told_worst'] * 1e3:.1f} ms; "
+                f"follower updated {row['told']} times, worst latency {row['told_worst'] * 1e3:.1f} ms; "
                 f"{row['connections']} connections; {row['kb']} KB more; {row['descriptors']} descriptors"
             )
         if path:
@@ -521,37 +552,46 @@
         f"{'lag p99':>7}"
     )
     for size in map(int, members.split(",")):
-        name = GroupName(b"lb0000", GROUP)
-        entries = [(MemberData.of(*at), 0) for at in places(size).values()]
-        items = b"".join(codec.entry(codec.member(x), 0, 0, w, False) for x, w in entries)
+        name = GroupName(b"lb0000", GROUP_NAME)
+        entries = [(MemberData.of(*at), 0) for at in member_addresses(size).values()]
+        entry_bytes = b"".join(
+            codec.entry(codec.member(member), 0, 0, weight, False) for member, weight in entries
+        )
         data = codec.send_weights(
-            1, [codec.group_component(codec.Part.WEIGHTS_OF_GROUP, name, size, items, False)], False
+            1, [codec.group_component(codec.Part.WEIGHTS_OF_GROUP, name, size, entry_bytes, False)], False
         )
         for count in map(int, clients.split(",")):
-            ours, theirs = pushes(count, size, False), pushes(count, size, True, len(data))
-            without, with_ = step(count, size)
+            fronts, baseline = (
+                measure_pushes(count, size, False),
+                measure_pushes(count, size, True, len(data)),
+            )
+            without_followers, with_followers = measure_brain_step(count, size)
             row = {
                 "clients": count,
                 "members": size,
                 "bytes": len(data),
-                **ours,
-                "x_bare": ours["last_median"] / theirs["last_median"],
-                "x_bare_cpu": ours["cpu"] / max(theirs["cpu"], 1e-6),
-                "step_ratio": with_ / without,
+                **fronts,
+                "x_bare": fronts["last_median"] / baseline["last_median"],
+                "x_bare_cpu": fronts["cpu"] / max(baseline["cpu"], 1e-6),
+                "step_ratio": with_followers / without_followers,
             }
             figures.append(row)
             print(
-                f"{count:7} {size:7} | {ours['median'] * 1e3:9.2f} {ours['p99'] * 1e3:8.2f} "
-                f"{ours['last_median'] * 1e3:8.2f} | {row['x_bare']:6.1f} {row['x_bare_cpu']:10.1f} | "
-                f"{ours['cpu'] * 1e3:7.2f} {len(data) * count / 1024:8.0f} {ours['memory_kb']:9.0f} | "
-                f"{row['step_ratio']:6.2f} {ours['lag_p99'] * 1e3:6.2f}m",
+                f"{count:7} {size:7} | {fronts['median'] * 1e3:9.2f} {fronts['p99'] * 1e3:8.2f} "
+                f"{fronts['last_median'] * 1e3:8.2f} | {row['x_bare']:6.1f} {row['x_bare_cpu']:10.1f} | "
+                f"{fronts['cpu'] * 1e3:7.2f} {len(data) * count / 1024:8.0f} {fronts['memory_kb']:9.0f} | "
+                f"{row['step_ratio']:6.2f} {fronts['lag_p99'] * 1e3:6.2f}m",
                 flush=True,
             )
-        reply = 13 + 9 + len(data) - 13 - 6
-        ours, theirs = poll_rate(size, False, reply), poll_rate(size, True, reply)
-        figures.append({"members": size, "polls_a_second": ours, "bare_polls_a_second": theirs})
+        reply_size = 13 + 9 + len(data) - 13 - 6
+        fronts, baseline = (
+            measure_polls(size, False, reply_size),
+            measure_polls(size, True, reply_size),
+        )
+        figures.append({"members": size, "polls_a_second": fronts, "bare_polls_a_second": baseline})
         print(
-            f"  polls a second of {size} members, one client: {ours}, bare {theirs}: {ours / theirs:.2f} x",
+            f"  polls per second of {size} members, one client: {fronts}, bare {baseline}: "
+            f"{fronts / baseline:.2f} x",
             flush=True,
         )
     if path:
--- a/benchmarks/rehearsal.py
+++ b/benchmarks/rehearsal.py
@@ -1,11 +1,11 @@
-"""How fast a rehearsal goes, by the size of its fleet.
+"""Measures the speed of a rehearsal by the size of its fleet.
 
     python -m benchmarks.rehearsal                    # 15, 30, 120, 1000 nodes
     python -m benchmarks.rehearsal --nodes 15,30 --json result.json
 
-Simulated seconds and events a second of real time, the Brain's own share of it, and the memory at the end;
-each size in a process of its own. Calls grow with the nodes (10 a second each), proxies with their root (4
-times it). The baseline in the same run is the same day with one even table and no Brain.
+Reports simulated seconds and events per second of real time, the fraction of time spent in the Brain, and
+the maximum memory. Each size runs in its own process. The call rate is 10 per second and node, the number of
+proxies 4 times the square root of the nodes. The baseline, policy "even", uses one even table and no Brain.
 """
 
 import json
@@ -17,9 +17,9 @@
 
 import click
 
-SECONDS = 20  # of each day
+DURATION_S = 20  # simulated time
 
-SCRIPT = """
+SCRIPT_TEMPLATE = """
 rehearsal {{
   length = {seconds}
   seed   = 5
@@ -62,15 +62,15 @@
 """
 
 
-def day(pipe, nodes, policy):
+def run_rehearsal(pipe, nodes, policy):
     from garnetpaddle.brain import Brain
     from garnetpaddle.rehearsal import Simulation, read
 
     proxies = max(2, round(4 * nodes**0.5))
     with tempfile.NamedTemporaryFile("w", suffix=".hcl") as file:
         file.write(
-            SCRIPT.format(
-                seconds=SECONDS,
+            SCRIPT_TEMPLATE.format(
+                seconds=DURATION_S,
                 half=max(1, proxies // 2),
                 few=nodes // 3,
                 many=nodes - nodes // 3,
@@ -81,31 +81,31 @@
         )
         file.flush()
         script = read(file.name)
-    spent, handle = [0.0], Brain.handle
+    brain_seconds, original_handle = [0.0], Brain.handle
 
-    def timed(self, now, events):
-        begun = time.perf_counter()
+    def timed_handle(self, now, events):
+        started_at = time.perf_counter()
         try:
-            return handle(self, now, events)
+            return original_handle(self, now, events)
         finally:
-            spent[0] += time.perf_counter() - begun
+            brain_seconds[0] += time.perf_counter() - started_at
 
-    Brain.handle = timed
-    begun = time.perf_counter()
+    Brain.handle = timed_handle
+    started_at = time.perf_counter()
     result = Simulation(script, policy=policy).run()
-    took = time.perf_counter() - begun
+    elapsed = time.perf_counter() - started_at
     pipe.send(
         {
             "nodes": nodes,
             "proxies": 2 * max(1, proxies // 2),
             "policy": policy,
             "calls": result.counts["calls"],
-            "took": took,
-            "simulated_a_second": SECONDS / took,
-            "events_a_second": result.counts["events"] / took,
-            "brain_part": spent[0] / took,
+            "took": elapsed,
+            "simulated_a_second": DURATION_S / elapsed,
+            "events_a_second": result.counts["events"] / elapsed,
+            "brain_part": brain_seconds[0] / elapsed,
             "service": result.service(),
-            "broken": [b.rule for b in result.violations],
+            "broken": [violation.rule for violation in result.violations],
             "mb": resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024,
         }
     )
@@ -115,7 +115,7 @@
 @click.option("--nodes", default="15,30,120,1000")
 @click.option("--json", "path")
 def main(nodes, path):
-    """Measures rehearsals; prints a table."""
+    """Runs the rehearsals and prints a table."""
     rows = []
     print(
         f"{'nodes':>6} {'proxies':>7} {'policy':>6} {'calls':>7} | {'sim s/s':>8} {'events/s':>9} "
@@ -123,10 +123,12 @@
     )
     for count in map(int, nodes.split(",")):
         for policy in ("brain", "even"):
-            ours, theirs = multiprocessing.Pipe()
-            process = multiprocessing.get_context("spawn").Process(target=day, args=(theirs, count, policy))
+            parent_pipe, child_pipe = multiprocessing.Pipe()
+            process = multiprocessing.get_context("spawn").Process(
+                target=run_rehearsal, args=(child_pipe, count, policy)
+            )
             process.start()
-            rows.append(row := ours.recv())
+            rows.append(row := parent_pipe.recv())
             process.join()
             print(
                 f"{count:6} {row['proxies']:7} {policy:>6} {row['calls']:7} | "
--- a/benchmarks/turn.py
+++ b/benchmarks/turn.py
@@ -1,12 +1,12 @@
-"""What a turn of the Brain costs by the size of the fleet, and where it goes.
+"""Measures and profiles the time of a turn of the Brain by the size of the fleet.
 
-    python -m benchmarks.turn                              # 1,600 proxies x 200 tasks, one survivor of five
+    python -m benchmarks.turn                              # all default sizes
     python -m benchmarks.turn --size 640x120 --size 1600x200 --json result.json
-    python -m benchmarks.turn --profile                    # the dearest functions of the last size
+    python -m benchmarks.turn --profile                    # also profile the last size
 
-One assigner, on a virtual clock, no I/O: a fifth of the proxies joins at once, the others 10 s later (four of
-five assigners lost), then a third of the tasks is replaced; sums, probes and answers come all the while.
-A size's cost a turn is given as a ratio to the first size of the same run.
+Simulates one assigner on a virtual clock without I/O: a fifth of the proxies joins at the start, the others
+10 s later (four of five assigners lost), then a third of the tasks is replaced. Task sums, probe answers and
+applied marks arrive throughout. The time per turn is given as a ratio to the first size of the same run.
 """
 
 import cProfile
@@ -19,8 +19,9 @@
 from garnetpaddle import interface as gp
 from garnetpaddle.brain import Brain
 
-BEAT, SECONDS, PERIOD = 1_000, 30, 10_000  # tenths of a ms a turn; of the day; tenths of a ms between sums
-INTAKE = 150  # lines of sums a second
+# A tick is 0.1 ms.
+TURN_TICKS, DURATION_S, REPORT_PERIOD_TICKS = 1_000, 30, 10_000
+REPORT_LINES_PER_S = 150  # lines of task sums per second
 
 
 def terms(proxies):
@@ -33,7 +34,7 @@
         start_share=0.23,
         fall_multiple=3.0,
         gone_binds=True,
-        report_period=PERIOD,
+        report_period=REPORT_PERIOD_TICKS,
         channel_lines=2_000.0,
         queue_limit=26.0 * proxies,
         head_lines=6.0,
@@ -55,61 +56,63 @@
     return gp.TaskLine(task, "abc"[number % 3], 0, state, 1.0, started, "large" if number % 2 else "small")
 
 
-class Day:
+class SimulatedDay:
     def __init__(self, proxies, tasks):
-        self.brain, self.now, self.coming = Brain(terms(proxies), 7), 10**9, []
-        self.names, self.proxies, self.at = [f"t{k}" for k in range(tasks)], proxies, 0
-        self.turns, self.events, self.spent = 0, 0, 0.0
+        self.brain, self.now, self.pending_events = Brain(terms(proxies), 7), 10**9, []
+        self.task_names, self.proxies, self.report_index = [f"t{k}" for k in range(tasks)], proxies, 0
+        self.turns, self.events, self.handle_seconds = 0, 0, 0.0
 
-    def hear(self, events):
-        begun = time.perf_counter()
+    def handle_events(self, events):
+        started_at = time.perf_counter()
         orders = self.brain.handle(self.now, events)
-        self.spent += time.perf_counter() - begun
+        self.handle_seconds += time.perf_counter() - started_at
         self.turns, self.events = self.turns + 1, self.events + len(events)
         for order in orders:
             match order:
                 case gp.Probe():
-                    self.coming.append((self.now + 800, gp.ProbeAnswered(order.task, 800, "ok", {})))
+                    self.pending_events.append((self.now + 800, gp.ProbeAnswered(order.task, 800, "ok", {})))
                 case gp.Seal():
-                    self.coming.append((self.now + 3_000, order.mark))
+                    self.pending_events.append((self.now + 3_000, order.mark))
 
     def join(self, numbers):
-        self.hear([gp.ProxyJoined(p, 1.0, True, "abc"[p % 3]) for p in numbers])
+        self.handle_events([gp.ProxyJoined(proxy_id, 1.0, True, "abc"[proxy_id % 3]) for proxy_id in numbers])
 
-    def turn(self, n):
-        self.now += BEAT
-        due = [event for at, event in self.coming if at <= self.now]
-        self.coming = [(at, event) for at, event in self.coming if at > self.now]
+    def run_turn(self, turn):
+        self.now += TURN_TICKS
+        due = [event for at, event in self.pending_events if at <= self.now]
+        self.pending_events = [(at, event) for at, event in self.pending_events if at > self.now]
         events = [event for event in due if not isinstance(event, int)]
         if marks := [event for event in due if isinstance(event, int)]:
-            waits = [p for p, proxy in self.brain.behind.items() if proxy.unanswered]
-            events += [gp.Applied(p, marks[-1], 3_000) for p in waits]
-        for _ in range(INTAKE * BEAT // 10_000):
-            self.at = (self.at + 1) % (3 * len(self.names))
-            task = self.names[self.at // 3]
-            span = max(3 * len(self.names) * 10_000 // INTAKE, PERIOD)
-            latency = 2_000.0 + 100 * (self.at % 7)
-            events.append(gp.TaskSums(task, "abc"[self.at % 3], 8, 0, latency, span, {}))
-        if n == 150:
-            gone, new = self.names[::3], [f"t{9_000 + k}" for k in range(len(self.names[::3]))]
-            self.names = [k for k in self.names if k not in gone] + new
-            lines = [line(k, "draining") for k in gone] + [line(k, "ready", self.now) for k in new]
+            waiting_proxies = [proxy_id for proxy_id, proxy in self.brain.behind.items() if proxy.unanswered]
+            events += [gp.Applied(proxy_id, marks[-1], 3_000) for proxy_id in waiting_proxies]
+        for _ in range(REPORT_LINES_PER_S * TURN_TICKS // 10_000):
+            self.report_index = (self.report_index + 1) % (3 * len(self.task_names))
+            task = self.task_names[self.report_index // 3]
+            span = max(3 * len(self.task_names) * 10_000 // REPORT_LINES_PER_S, REPORT_PERIOD_TICKS)
+            latency = 2_000.0 + 100 * (self.report_index % 7)
+            events.append(gp.TaskSums(task, "abc"[self.report_index % 3], 8, 0, latency, span, {}))
+        if turn == 150:
+            removed, added = self.task_names[::3], [f"t{9_000 + k}" for k in range(len(self.task_names[::3]))]
+            self.task_names = [name for name in self.task_names if name not in removed] + added
+            lines = [line(name, "draining") for name in removed] + [
+                line(name, "ready", self.now) for name in added
+            ]
             events.append(gp.ListHeard("changes", tuple(lines)))
-        self.hear(events)
+        self.handle_events(events)
 
-    def play(self):
-        self.hear([gp.ListHeard("stale", tuple(line(k) for k in self.names))])
+    def run(self):
+        self.handle_events([gp.ListHeard("stale", tuple(line(k) for k in self.task_names))])
         self.join(range(0, self.proxies, 5))
-        for n in range(SECONDS * 10_000 // BEAT):
-            if n == 100:
-                self.join([p for p in range(self.proxies) if p % 5])
-            self.turn(n)
+        for turn in range(DURATION_S * 10_000 // TURN_TICKS):
+            if turn == 100:
+                self.join([proxy_id for proxy_id in range(self.proxies) if proxy_id % 5])
+            self.run_turn(turn)
         return {
             "proxies": self.proxies,
-            "tasks": len(self.names),
+            "tasks": len(self.task_names),
             "turns": self.turns,
             "events": self.events,
-            "a_turn": self.spent / self.turns,
+            "a_turn": self.handle_seconds / self.turns,
         }
 
 
@@ -119,26 +122,28 @@
     "sizes",
     multiple=True,
     default=["150x30", "640x120", "1600x200", "3200x1000"],
-    help="PROXIESxTASKS, any number of times; the first is the measure of the others.",
+    help="PROXIESxTASKS, repeatable; the others are compared to the first.",
 )
-@click.option("--profile", is_flag=True, help="Also the dearest functions of the last size.")
-@click.option("--json", "path", help="Write the figures there.")
-def main(sizes, profile, path):
+@click.option(
+    "--profile", is_flag=True, help="Also profile the last size and print its most expensive functions."
+)
+@click.option("--json", "json_path", help="Write the figures to this file.")
+def main(sizes, profile, json_path):
     rows = []
     for size in sizes:
         proxies, tasks = (int(part) for part in size.split("x"))
-        watch = cProfile.Profile() if profile and size == sizes[-1] else None
-        day = Day(proxies, tasks)
-        rows.append(watch.runcall(day.play) if watch else day.play())
+        profiler = cProfile.Profile() if profile and size == sizes[-1] else None
+        simulation = SimulatedDay(proxies, tasks)
+        rows.append(profiler.runcall(simulation.run) if profiler else simulation.run())
         row = rows[-1] | {"ratio": rows[-1]["a_turn"] / rows[0]["a_turn"]}
         click.echo(
             f"{size:>10}  turns {row['turns']:>4}  events {row['events']:>7}  "
-            f"a turn {row['ratio']:7.2f} of {sizes[0]}'s"
+            f"time per turn {row['ratio']:7.2f} of {sizes[0]}'s"
         )
     if profile:
-        pstats.Stats(watch).sort_stats("tottime").print_stats(12)
-    if path:
-        with open(path, "w") as file:
+        pstats.Stats(profiler).sort_stats("tottime").print_stats(12)
+    if json_path:
+        with open(json_path, "w") as file:
             json.dump(rows, file)
 
 
