--- a/examples/balancer.py
+++ b/examples/balancer.py
@@ -1,12 +1,12 @@
-"""A toy balancer that follows the assigner over SASP, on 127.0.0.1.
+"""A toy balancer that receives weights from the assigner over SASP, on 127.0.0.1.
 
-    python examples/toys.py         # one terminal; in another:
+    python examples/toys.py         # first terminal; in the second:
     ROUTER_CONFIG=examples/assigner.json python -m garnetpaddle serve --operator examples/operator.hcl
-    python -m examples.balancer     # a third
+    python -m examples.balancer     # third terminal
 
-It registers the toys' three tasks in the group "lookups" and spreads toy calls by what it is told: each call
-goes to the member that is furthest behind its part (weighted round robin). Every five seconds it prints where
-its calls went. A call that failed is not tried again, as its entry in operator.hcl states.
+It registers the three tasks of toys.py in the group "lookups" and distributes simulated calls by the received
+weights (smooth weighted round robin). Every five seconds it prints the number of calls per member. Failed
+calls are not retried, as its entry in operator.hcl states.
 """
 
 import asyncio
@@ -17,32 +17,34 @@
 
 
 class Balancer:
-    """Smooth weighted round robin over the last advice."""
+    """Smooth weighted round robin over the latest weights."""
 
     def __init__(self):
         self.weights, self.credit, self.sent = {}, {}, {}
 
-    def steer(self, weights):
-        self.weights = {w.port: w.weight for w in weights if w.weight and not w.quiesced}
+    def set_weights(self, weights):
+        self.weights = {
+            member.port: member.weight for member in weights if member.weight and not member.quiesced
+        }
         self.credit = {port: self.credit.get(port, 0) for port in self.weights}
 
-    def pick(self):
-        """A member's port; None while nobody may be sent to."""
+    def choose_member(self):
+        """The port of the next member; None if no member accepts calls."""
         if not self.weights:
             return None
         for port, weight in self.weights.items():
             self.credit[port] += weight
-        port = max(self.credit, key=lambda p: (self.credit[p], p))
+        port = max(self.credit, key=lambda member_port: (self.credit[member_port], member_port))
         self.credit[port] -= sum(self.weights.values())
         self.sent[port] = self.sent.get(port, 0) + 1
         return port
 
 
-async def calls(balancer):
-    for n in range(1, 1_000_000):
-        balancer.pick()
+async def send_calls(balancer):
+    for number in range(1, 1_000_000):
+        balancer.choose_member()
         await asyncio.sleep(0.01)
-        if n % 500 == 0:
+        if number % 500 == 0:
             print("sent:", ", ".join(f"{port} {count}" for port, count in sorted(balancer.sent.items())))
             balancer.sent.clear()
 
@@ -50,11 +52,11 @@
 async def main():
     balancer = Balancer()
     async with SaspClient(MANAGER, "toy-balancer", {"lookups": MEMBERS}) as client:
-        spreading = asyncio.create_task(calls(balancer))
+        sending = asyncio.create_task(send_calls(balancer))
         async for update in client.updates():
-            balancer.steer(update.weights)
-            print("told:", ", ".join(f"{w.port} {w.weight}" for w in update.weights))
-        await spreading
+            balancer.set_weights(update.weights)
+            print("weights:", ", ".join(f"{member.port} {member.weight}" for member in update.weights))
+        await sending
 
 
 if __name__ == "__main__":
