--- a/benchmarks/scaling/fit.py
+++ b/benchmarks/scaling/fit.py
@@ -68,16 +68,16 @@
 def lack_of_fit(points):
     """P-value of the lack-of-fit F test: a straight line against the spread between runs of a size."""
     sizes = values_by_size(points)
-    pure_degrees = len(points) - len(sizes)
-    if pure_degrees < 1 or len(sizes) < 3:
+    pure_error_degrees = len(points) - len(sizes)
+    if pure_error_degrees < 1 or len(sizes) < 3:
         return None
     slope, intercept = linear_fit(points)
     pure_error = sum((y - sum(ys) / len(ys)) ** 2 for ys in sizes.values() for y in ys)
     residual = sum((y - intercept - slope.value * x) ** 2 for x, y in points)
     if pure_error <= 0:
         return 0.0 if residual > 1e-12 else 1.0
-    f_statistic = ((residual - pure_error) / (len(sizes) - 2)) / (pure_error / pure_degrees)
-    return float(stats.f.sf(f_statistic, len(sizes) - 2, pure_degrees))
+    f_statistic = ((residual - pure_error) / (len(sizes) - 2)) / (pure_error / pure_error_degrees)
+    return float(stats.f.sf(f_statistic, len(sizes) - 2, pure_error_degrees))
 
 
 def shape_of(points, slope, exponent):
--- a/benchmarks/scaling/sweep.py
+++ b/benchmarks/scaling/sweep.py
@@ -54,7 +54,7 @@
 
     def __init__(self, seed, timing, jobs, on_result):
         self.seed, self.timing, self.jobs, self.on_result = seed, timing, jobs, on_result
-        self.locks, self.measured, self.locks_lock = {}, {}, threading.Lock()
+        self.locks, self.measured, self.locks_guard = {}, {}, threading.Lock()
 
     def run(self, planned):
         """Results of all plans, in their order; heavy points run one at a time, in parallel to light ones."""
@@ -66,7 +66,7 @@
     def point(self, plan):
         """The result of a plan, reused if the same workload was already measured in the same run."""
         key = plan.run, plan.params
-        with self.locks_lock:
+        with self.locks_guard:
             lock = self.locks.setdefault(key, threading.Lock())
         with lock:
             if key not in self.measured:
--- a/benchmarks/scaling/workload.py
+++ b/benchmarks/scaling/workload.py
@@ -6,8 +6,8 @@
 
 REPORT_PERIOD_S = 1.0  # between a collector's reports, as in examples/assigner.json
 CHANNEL_LINES_PER_S = 2_000.0  # rate of the relay's channel per assigner, as in examples/assigner.json
-CHANNEL_QUEUE_LINES = 4_000.0  # as in examples/assigner.json; `settings` raises it for many proxies
-QUEUE_LINES_PER_PROXY = 26.0  # undeferrable orders must fit twice for all proxies, as in benchmarks/turn.py
+CHANNEL_QUEUE_LINES = 4_000.0  # as in examples/assigner.json; raised for many proxies, as the platform must
+QUEUE_LINES_PER_PROXY = 26.0  # non-deferrable orders must fit twice for all proxies, as in benchmarks/turn.py
 MESSAGE_HEAD_LINES = 6.0  # fixed cost of each message, as in benchmarks/turn.py
 ASSIGNER_PROCESSES = 2  # processes per point; all other assigners exist only in the settings
 SOCKETS = 4_096  # file descriptor limit of one assigner
--- a/tests/test_fault_scenarios.py
+++ b/tests/test_fault_scenarios.py
@@ -96,26 +96,26 @@
         old_agent, new_agent, relay = DiscoveryAgent(50, "abc"), DiscoveryAgent(50, "abc"), Relay(4, 5)
         new_agent.generation -= drain_source == "older"
         async with (
-            old_agent.listen() as agent,
-            new_agent.listen() as agent_2,
-            relay.listen() as address,
-            relay.listen() as address_2,
-            Program(write_configuration(tmp_path, agent, address, "abc")) as program,
+            old_agent.listen() as old_discovery,
+            new_agent.listen() as new_discovery,
+            relay.listen() as old_relay,
+            relay.listen() as new_relay,
+            Program(write_configuration(tmp_path, old_discovery, old_relay, "abc")) as program,
         ):
             await until(lambda: relay.callable() == "4:abc 5:abc")
             new_agent.speaks.clear()
-            addresses = {"discovery": (agent_2, address), "both": (agent_2, address_2)}
-            write_configuration(tmp_path, *addresses.get(moves, (agent, address_2)), "abc")
+            addresses = {"discovery": (new_discovery, old_relay), "both": (new_discovery, new_relay)}
+            write_configuration(tmp_path, *addresses.get(moves, (old_discovery, new_relay)), "abc")
             program.signal(signal.SIGHUP)
             # The move is in progress: the new addresses have received requests but not answered them.
             await until(lambda: "relay" in moves or new_agent.asked)
-            await until(lambda: moves == "discovery" or address_2.said)
+            await until(lambda: moves == "discovery" or new_relay.said)
             await announce_drain(drain_source, old_agent, new_agent)
             if drain_source == "older":  # the older list arrives after the drain has been applied
                 await within(GRACE, lambda: relay.callable() == "4:ac 5:ac")
             new_agent.speaks.set()
             if moves == "broken relay":
-                for writer in address.writers:
+                for writer in old_relay.writers:
                     writer.transport.abort()
             await within(GRACE, lambda: relay.callable() == "4:ac 5:ac")
             if drain_source == "older":
@@ -127,7 +127,7 @@
             # The current agent's changes are applied, and orders reach the current relay.
             (old_agent if "relay" in moves else new_agent).tell(("c", "leaving"), generation=60)
             await within(GRACE, lambda: relay.callable() == "4:a 5:a")
-            return await terminate(program), relay, address if moves == "discovery" else address_2
+            return await terminate(program), relay, old_relay if moves == "discovery" else new_relay
 
     result, relay, current_relay = asyncio.run(scenario())
     assert result == ENDED
@@ -223,7 +223,7 @@
 
 
 async def silent_stream(agent, relay):
-    """Calls continue while the stream is silent; the next stream lists all proxies again."""
+    """Calls continue while the stream is silent; the next stream lists all proxies that have not left."""
     relay.speaks.clear()
     agent.tell(("b", "leaving"))
     await within(1.0, lambda: relay.callable() == "4:ac 5:ac")
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -31,10 +31,10 @@
 
 
 def test_linear_data_is_fitted_with_slope_and_interval():
-    found = fit.fit(points_with_noise(lambda size: 10 + 3 * size))
-    assert found.slope.low < 3 < found.slope.high
-    assert found.slope.value == pytest.approx(3, rel=0.02)
-    assert found.shape == "linear"
+    result = fit.fit(points_with_noise(lambda size: 10 + 3 * size))
+    assert result.slope.low < 3 < result.slope.high
+    assert result.slope.value == pytest.approx(3, rel=0.02)
+    assert result.shape == "linear"
 
 
 @pytest.mark.parametrize(
