--- a/benchmarks/advice.py
+++ b/benchmarks/advice.py
@@ -53,11 +53,11 @@
     return {f"task-{k:05}": (f"10.{k >> 16}.{k >> 8 & 255}.{k & 255}", 5_000) for k in range(members)}
 
 
-def weight_orders(members, order):
+def weight_orders(members, order_number):
     """Orders that change every weight; the weight of the first task encodes the order number."""
     tasks = list(member_addresses(members))
-    return [gp.SetLine(1, tasks[0], (100 + order) / 1_000)] + [
-        gp.SetLine(1, task, 0.8 + (k * 7 + order * 3) % 40 / 100) for k, task in enumerate(tasks[1:])
+    return [gp.SetLine(1, tasks[0], (100 + order_number) / 1_000)] + [
+        gp.SetLine(1, task, 0.8 + (k * 7 + order_number * 3) % 40 / 100) for k, task in enumerate(tasks[1:])
     ]
 
 
@@ -241,9 +241,12 @@
     pipe.send("open")
     while (command := await loop.run_in_executor(None, pipe.recv)) != "end":
         deadline = time.monotonic() + 60
-        while sum(order == command for order, _ in received) < len(uids) and time.monotonic() < deadline:
+        while (
+            sum(order_number == command for order_number, _ in received) < len(uids)
+            and time.monotonic() < deadline
+        ):
             await asyncio.sleep(0.002)
-        pipe.send([at for order, at in received if order == command])
+        pipe.send([at for order_number, at in received if order_number == command])
         received.clear()
 
 
@@ -335,14 +338,16 @@
     server.send("memory")
     memory = server.recv()
     latencies, last_latencies = DDSketch(QUANTILE_ACCURACY), DDSketch(QUANTILE_ACCURACY)
-    for order in range(1, ORDER_COUNT + 1):
-        server.send(order)
+    for order_number in range(1, ORDER_COUNT + 1):
+        server.send(order_number)
         sent_at = server.recv()
         for pipe, _ in readers:
-            pipe.send(order)
+            pipe.send(order_number)
         order_latencies = [received_at - sent_at for pipe, _ in readers for received_at in pipe.recv()]
         if len(order_latencies) < clients:
-            raise SystemExit(f"{clients - len(order_latencies)} of {clients} readers never saw order {order}")
+            raise SystemExit(
+                f"{clients - len(order_latencies)} of {clients} readers never saw order {order_number}"
+            )
         for latency in order_latencies:
             latencies.add(max(latency, 1e-6))
         last_latencies.add(max(order_latencies))
@@ -489,10 +494,10 @@
             else []
         )
         latencies = []
-        for order in range(1, seconds * 2 - 1):
-            server.send(order + 20 * flooded)
+        for order_number in range(1, seconds * 2 - 1):
+            server.send(order_number + 20 * flooded)
             sent_at = server.recv()
-            reader.send(order + 20 * flooded)
+            reader.send(order_number + 20 * flooded)
             latencies += [received_at - sent_at for received_at in reader.recv()]
             time.sleep(0.4)
         server.send("used")
--- a/benchmarks/rehearsal.py
+++ b/benchmarks/rehearsal.py
@@ -24,8 +24,8 @@
   length = {seconds}
   seed   = 5
 }}
-zone "a" {{ proxies = {half} }}
-zone "b" {{ proxies = {half} }}
+zone "a" {{ proxies = {proxies_per_zone} }}
+zone "b" {{ proxies = {proxies_per_zone} }}
 route "r" {{
   share = 1
   work  = 0.12
@@ -40,12 +40,12 @@
 nodes "large" {{
   kind  = "large"
   zone  = "a"
-  count = {few}
+  count = {large_nodes}
 }}
 nodes "small" {{
   kind  = "small"
   zone  = "b"
-  count = {many}
+  count = {small_nodes}
 }}
 clients {{ rate = {rate} }}
 delays {{
@@ -71,9 +71,9 @@
         file.write(
             SCRIPT_TEMPLATE.format(
                 seconds=DURATION_S,
-                half=max(1, proxies // 2),
-                few=nodes // 3,
-                many=nodes - nodes // 3,
+                proxies_per_zone=max(1, proxies // 2),
+                large_nodes=nodes // 3,
+                small_nodes=nodes - nodes // 3,
                 rate=10 * nodes,
                 lines=100 * nodes,
                 queue=200 * nodes,
--- a/benchmarks/scaling/assigner_process.py
+++ b/benchmarks/scaling/assigner_process.py
@@ -51,7 +51,7 @@
         """Starts the process."""
         command = SERVE_COMMAND
         if self.counts_path:
-            counted_assigner.create(self.counts_path)
+            counted_assigner.create_counts_file(self.counts_path)
             command = (*COUNTED_COMMAND, str(self.counts_path))
         self.output = open(self.directory / f"output-{self.rank}", "wb")  # noqa: SIM115 (closed in `end`)
         environment = {key: value for key, value in os.environ.items() if not key.startswith("ROUTER_")}
@@ -90,15 +90,15 @@
         sizes = (int(status[field].split()[0]) for field in ("VmRSS", "VmHWM"))
         return ProcessUsage(cpu_ns / 1e9, *sizes)
 
-    def turns(self):
+    def turn_counts(self):
         """The counts of its turns; None if they are not counted."""
-        return counted_assigner.read(self.counts_path) if self.counts_path else None
+        return counted_assigner.read_counts(self.counts_path) if self.counts_path else None
 
     def reload(self):
         """Sends SIGHUP, which makes it reload its configuration."""
         self.process.send_signal(signal.SIGHUP)
 
-    def end(self):
+    def stop(self):
         """Stops it with SIGTERM, then SIGKILL, as the platform does; returns its last lines of output."""
         if self.process is None:
             return ""
--- a/benchmarks/scaling/command.py
+++ b/benchmarks/scaling/command.py
@@ -31,8 +31,12 @@
         return [sweep.Plan("operators", 1.0, run, workload.OPERATORS) for run in range(runs)]
     if quick:
         names = names or tuple(QUICK_SIZES)
-        return [plan for name in names for plan in sweep.plans([name], sizes or QUICK_SIZES.get(name), runs)]
-    return sweep.plans(names or workload.SWEPT, sizes, runs)
+        return [
+            plan
+            for name in names
+            for plan in sweep.plan_dimensions([name], sizes or QUICK_SIZES.get(name), runs)
+        ]
+    return sweep.plan_dimensions(names or workload.SWEPT, sizes, runs)
 
 
 @click.command()
--- a/benchmarks/scaling/counted_assigner.py
+++ b/benchmarks/scaling/counted_assigner.py
@@ -44,13 +44,13 @@
         )
 
 
-def create(path):
+def create_counts_file(path):
     """Creates a file of zero counts."""
     with open(path, "wb") as file:
         file.write(LAYOUT.pack(*dataclasses.astuple(TurnCounts())))
 
 
-def read(path):
+def read_counts(path):
     """Reads the counts after the latest turn."""
     with open(path, "rb") as file:
         return TurnCounts(*LAYOUT.unpack(file.read(LAYOUT.size)))
--- a/benchmarks/scaling/fake_collectors.py
+++ b/benchmarks/scaling/fake_collectors.py
@@ -15,7 +15,7 @@
 
     def __init__(self, counter, params, relay, seed):
         self.counter, self.params, self.relay = counter, params, relay
-        self.random, self.due_requests = workload.random_of(seed, "requests"), 0.0
+        self.random, self.due_requests = workload.seeded_random(seed, "requests"), 0.0
         self.proxies = list(relay.proxies)
         self.writers, self.failing = {}, set()  # failing: tasks that fail every try
 
--- a/benchmarks/scaling/fake_discovery.py
+++ b/benchmarks/scaling/fake_discovery.py
@@ -98,7 +98,7 @@
     def __init__(self, counter, params, address, seed):
         self.counter, self.params = counter, params
         self.tasks = TaskList(params, address)
-        self.random = workload.random_of(seed, "list")
+        self.random = workload.seeded_random(seed, "list")
         self.server = self.port = None
 
     async def open(self):
--- a/benchmarks/scaling/fake_peers.py
+++ b/benchmarks/scaling/fake_peers.py
@@ -20,7 +20,7 @@
 
     relay_port: int
     discovery_port: int
-    listed: list
+    task_entries: list
 
 
 @dataclass(frozen=True, slots=True)
@@ -114,8 +114,8 @@
         self.discovery = FakeDiscovery(self.traffic.discovery, self.params, self.tasks.address, self.seed)
         await self.discovery.open()
         self.start(self.relay.run())
-        listed = list(self.discovery.tasks.entries.values())
-        self.pipe.send(PeersListening(self.relay.port, self.discovery.port, listed))
+        task_entries = list(self.discovery.tasks.entries.values())
+        self.pipe.send(PeersListening(self.relay.port, self.discovery.port, task_entries))
         asyncio.get_running_loop().add_reader(self.pipe.fileno(), self.on_message)
         await self.stopped.wait()
 
@@ -185,7 +185,7 @@
             sum(len(table.weights) for table in relay.tables.values()),
             relay.first_order_at,
             relay.all_bound_at,
-            max(0.0, relay.channel.free_at - relay.clock()),
+            max(0.0, relay.channel.idle_at - relay.clock()),
             len(withdrawal.holders) if withdrawal else 0,
             withdrawal.last_at - withdrawal.started_at if done else None,
             sum(not writer.is_closing() for writer in self.collectors.writers.values()),
--- a/benchmarks/scaling/fake_relay.py
+++ b/benchmarks/scaling/fake_relay.py
@@ -51,12 +51,12 @@
     """A lossless queue that sends lines at a constant rate."""
 
     def __init__(self, rate):
-        self.rate, self.free_at = rate, 0.0
+        self.rate, self.idle_at = rate, 0.0
 
     def send(self, now, lines):
         """Queues a message; returns the time at which it is sent completely."""
-        self.free_at = max(now, self.free_at) + lines / self.rate
-        return self.free_at
+        self.idle_at = max(now, self.idle_at) + lines / self.rate
+        return self.idle_at
 
 
 class FakeRelay:
@@ -72,7 +72,7 @@
         self.rate = params.requests / params.proxies
         self.tables, self.bound, self.ejected = {}, {}, set()
         self.counts, self.channel = Counts(), Channel(workload.CHANNEL_LINES_PER_S)
-        self.pending_answers, self.readers, self.withdrawal = deque(), [], None
+        self.pending_answers, self.event_streams, self.withdrawal = deque(), [], None
         self.first_order_at = self.all_bound_at = None
         self.server = self.port = None
 
@@ -223,15 +223,15 @@
         """Writes events to all open event streams."""
         chunk = b"".join(events)
         framed = b"%x\r\n%b\r\n" % (len(chunk), chunk)
-        for transport in self.readers:
+        for transport in self.event_streams:
             self.events_counter.sent(len(framed), len(events))
             transport.write(framed)
 
-    def add_reader(self, transport):
+    def add_event_stream(self, transport):
         """Starts an event stream with an `attach` event for every proxy."""
         transport.write(EVENTS_HEAD)
         self.events_counter.sent(len(EVENTS_HEAD), 0)
-        self.readers.append(transport)
+        self.event_streams.append(transport)
         self.send_events(
             [
                 f"event: attach\ndata: id={proxy}&site={zone}&rps={self.rate:.2f}&new=1\n\n".encode()
@@ -251,7 +251,7 @@
         """Answers a call, or starts an event stream."""
         if method == "GET" and target == "/v1/events":
             self.move_request_to_events()
-            self.relay.add_reader(self.transport)
+            self.relay.add_event_stream(self.transport)
             return
         changes = parse_qs(body.decode())["changes"][0].split(";")
         taken = self.relay.apply_orders(changes)
@@ -265,5 +265,5 @@
 
     def connection_lost(self, error):
         """Removes the connection from the open event streams."""
-        if self.transport in self.relay.readers:
-            self.relay.readers.remove(self.transport)
+        if self.transport in self.relay.event_streams:
+            self.relay.event_streams.remove(self.transport)
--- a/benchmarks/scaling/measure.py
+++ b/benchmarks/scaling/measure.py
@@ -111,7 +111,7 @@
         """The current snapshot of the fake peers."""
         return self.request(fake_peers.GetSnapshot())
 
-    def end(self):
+    def stop(self):
         """Stops the process, and kills it after a timeout."""
         with contextlib.suppress(OSError):
             self.pipe.send(fake_peers.Stop())
@@ -128,7 +128,7 @@
     at: float
     peers: fake_peers.Snapshot
     usage: object
-    turns: object
+    turn_counts: object
 
 
 class Point:
@@ -154,7 +154,7 @@
                 f"127.0.0.1:{free_port()}",
                 f"127.0.0.1:{peers.listening.relay_port}",
                 f"127.0.0.1:{peers.listening.discovery_port}",
-                peers.listening.listed,
+                peers.listening.task_entries,
             )
             counted = rank % 2 == 1
             self.assigners.append(AssignerProcess(self.directory.name, rank, configuration, counted))
@@ -165,9 +165,9 @@
 
     def close(self):
         """Stops the assigners and the fake peers; returns the last output lines of each assigner."""
-        last_output = [assigner.end() for assigner in self.assigners]
+        last_output = [assigner.stop() for assigner in self.assigners]
         for peers in self.peer_processes:
-            peers.end()
+            peers.stop()
         self.directory.cleanup()
         return last_output
 
@@ -216,7 +216,7 @@
     def take_samples(self):
         """The current counters of all assigners."""
         return [
-            Sample(time.monotonic(), peers.snapshot(), assigner.usage(), assigner.turns())
+            Sample(time.monotonic(), peers.snapshot(), assigner.usage(), assigner.turn_counts())
             for assigner, peers in self.pairs()
         ]
 
@@ -246,9 +246,9 @@
         """Drains, restarts or silences tasks; waits until no proxy has them in its table."""
         for rank, (_, peers) in enumerate(self.pairs()):
             held = peers.request(fake_peers.GetHeldTasks())
-            generator = workload.random_of(self.seed, "withdrawal", rank)
+            generator = workload.seeded_random(self.seed, "withdrawal", rank)
             if self.params.burst:
-                names = [entry["instanceId"] for entry in peers.listening.listed]
+                names = [entry["instanceId"] for entry in peers.listening.task_entries]
                 count = len(names) * self.params.burst // 100
                 peers.pipe.send(fake_peers.RestartTasks(tuple(generator.sample(names, count))))
             elif held and self.params.silent:
@@ -303,7 +303,7 @@
         "orders_refused": later.peers.relay.refused,
         "channel_wait_s": later.peers.channel_wait_s,
     }
-    return figures | (turn_figures(earlier.turns, later.turns, span) if later.turns else {})
+    return figures | (turn_figures(earlier.turn_counts, later.turn_counts, span) if later.turn_counts else {})
 
 
 def turn_figures(earlier, later, span):
--- a/benchmarks/scaling/report.py
+++ b/benchmarks/scaling/report.py
@@ -79,7 +79,7 @@
         for column in ("slope", "interval", "exponent", "shape"):
             table.add_column(column, justify="right")
         for key, description in sweep.FIGURES.items():
-            points = sweep.values(results, name, key)
+            points = sweep.figure_values(results, name, key)
             means = [mean([value for point_size, value in points if point_size == size]) for size in sizes]
             table.add_row(description, *map(format_figure, means), *fit_cells(fits.get(name, {}).get(key)))
         console.print(table)
@@ -131,7 +131,7 @@
     chart, axes = pyplot.subplots(*shape, figsize=(2.6 * shape[1], 1.7 * shape[0]), squeeze=False)
     for row, name in zip(axes, names, strict=True):
         for axis, key in zip(row, PLOTTED_FIGURES, strict=True):
-            points = sweep.values(results, name, key)
+            points = sweep.figure_values(results, name, key)
             axis.plot([x for x, _ in points], [y for _, y in points], ".", markersize=3)
             axis.set_ylim(bottom=0)
             axis.tick_params(labelsize=6)
--- a/benchmarks/scaling/sweep.py
+++ b/benchmarks/scaling/sweep.py
@@ -35,7 +35,7 @@
     params: workload.Workload
 
 
-def plans(names, sizes, runs):
+def plan_dimensions(names, sizes, runs):
     """The points of the named dimensions, ordered by run, so that a slow period affects all sizes."""
     return [
         Plan(name, size, run, params)
@@ -89,7 +89,7 @@
     return sum(link["messages_from_assigner"] + link["messages_to_assigner"] for link in links) or None
 
 
-def values(results, dimension, figure):
+def figure_values(results, dimension, figure):
     """(size, value) pairs of one figure, with the median over the assigners of each point."""
     pairs = []
     for result in results:
@@ -105,7 +105,7 @@
 def fits(results):
     """Fits by dimension and figure."""
     names = dict.fromkeys(result.dimension for result in results)
-    found = {name: {key: fit.fit(values(results, name, key)) for key in FIGURES} for name in names}
+    found = {name: {key: fit.fit(figure_values(results, name, key)) for key in FIGURES} for name in names}
     return {
         name: {key: result for key, result in figures.items() if result} for name, figures in found.items()
     }
--- a/benchmarks/scaling/workload.py
+++ b/benchmarks/scaling/workload.py
@@ -109,7 +109,7 @@
     return f"s-{number:05x}{life:03x}"
 
 
-def random_of(seed, *names):
+def seeded_random(seed, *names):
     """A separate random generator for each use, so that the uses do not affect each other."""
     return random.Random(":".join(map(str, (seed, *names))))
 
@@ -152,15 +152,15 @@
     }
 
 
-def configuration(params, rank, seed, listen, relay, discovery, listed):
+def configuration(params, rank, seed, listen, relay, discovery, task_entries):
     """The content of the file that ROUTER_CONFIG names."""
     return {
         "name": f"scale-{rank}",
         "listen": listen,
         "discovery": discovery,
-        "seed": f"{random_of(seed, 'assigner', rank).getrandbits(64):016x}",
+        "seed": f"{seeded_random(seed, 'assigner', rank).getrandbits(64):016x}",
         "limits": {"sockets": SOCKETS},
         "store": {"address": relay},
-        "known": {"generation": 0, "reset": True, "instances": listed},
+        "known": {"generation": 0, "reset": True, "instances": task_entries},
         "settings": settings(params, rank),
     }
--- a/benchmarks/turn.py
+++ b/benchmarks/turn.py
@@ -51,7 +51,7 @@
     )
 
 
-def line(task, state="ready", started=0):
+def task_line(task, state="ready", started=0):
     number = int(task[1:])
     return gp.TaskLine(task, "abc"[number % 3], 0, state, 1.0, started, "large" if number % 2 else "small")
 
@@ -74,8 +74,10 @@
                 case gp.Seal():
                     self.pending_events.append((self.now + 3_000, order.mark))
 
-    def join(self, numbers):
-        self.handle_events([gp.ProxyJoined(proxy_id, 1.0, True, "abc"[proxy_id % 3]) for proxy_id in numbers])
+    def join(self, proxy_ids):
+        self.handle_events(
+            [gp.ProxyJoined(proxy_id, 1.0, True, "abc"[proxy_id % 3]) for proxy_id in proxy_ids]
+        )
 
     def run_turn(self, turn):
         self.now += TURN_TICKS
@@ -94,14 +96,14 @@
         if turn == 150:
             removed, added = self.task_names[::3], [f"t{9_000 + k}" for k in range(len(self.task_names[::3]))]
             self.task_names = [name for name in self.task_names if name not in removed] + added
-            lines = [line(name, "draining") for name in removed] + [
-                line(name, "ready", self.now) for name in added
+            lines = [task_line(name, "draining") for name in removed] + [
+                task_line(name, "ready", self.now) for name in added
             ]
             events.append(gp.ListHeard("changes", tuple(lines)))
         self.handle_events(events)
 
     def run(self):
-        self.handle_events([gp.ListHeard("stale", tuple(line(k) for k in self.task_names))])
+        self.handle_events([gp.ListHeard("stale", tuple(task_line(k) for k in self.task_names))])
         self.join(range(0, self.proxies, 5))
         for turn in range(DURATION_S * 10_000 // TURN_TICKS):
             if turn == 100:
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -203,7 +203,7 @@
     measured = []
     runner = sweep.Sweep(34, None, 1, lambda result, seconds: None)
     runner.measure = lambda plan: measured.append(plan) or point(plan.dimension, plan.size, [])
-    planned = sweep.plans(["tasks", "fleet"], None, 1)
+    planned = sweep.plan_dimensions(["tasks", "fleet"], None, 1)
     results = runner.run(planned)
     assert [(x.dimension, x.size) for x in results] == [(x.dimension, x.size) for x in planned]
     assert len(measured) == 7  # both dimensions contain the workload of 13,000 tasks and 1,300 assigners
