--- a/tests/helper.py
+++ b/tests/helper.py
@@ -159,7 +159,7 @@
 
     def lose(self, perhaps):
         """No answer confirms what the last batch ordered."""
-        self.say(f"lost, {'perhaps' if perhaps else 'surely not'} carried out")
+        self.say(f"orders lost, {'possibly' if perhaps else 'not'} carried out")
         self.hear(gp.OrdersLost(tuple(self.last), perhaps))
         self.say(f"reckoned to wait: {self.brain.queue:.0f} lines")
 
--- a/tests/test_brain.py
+++ b/tests/test_brain.py
@@ -12,34 +12,34 @@
     return {k: weight for table in brain.tables for k, weight in table.weights.items()}
 
 
-def test_step_multiplies_by_headroom_and_sends_what_moved():
+def test_shares_are_multiplied_by_headroom_and_only_changed_weights_are_sent():
     play = Play()
     play.sums["a"] = (10, 0, 100)
     play.sums["b"] = (10, 0, 400)
     play.run(16)
-    play.matches("step")
+    play.matches("share_adjustment")
 
 
-def test_holds_while_a_push_has_not_taken_effect_or_reports_stay_away():
+def test_shares_are_not_adjusted_while_a_push_is_unacknowledged_or_reports_are_late():
     play = Play(applies=False)
     play.sums["a"] = (10, 0, 400)
-    play.say("no proxy says that it has applied its table: no step")
+    play.say("no proxy acknowledges its table: no adjustment")
     play.run(8)
     play.hear(*(gp.Applied(p, play.brain.mark, 0) for p in play.brain.proxies))
-    play.say("applied, but the reports now come 6 s late")
+    play.say("acknowledged, but the reports now arrive 6 s late")
     play.report_at = 160_000
     play.run(15)
-    play.matches("hold")
+    play.matches("adjustment_waits")
 
 
-def test_unheard_or_senseless_readings_count_as_average():
+def test_missing_or_impossible_readings_count_as_average():
     play = Play(tasks="abcde")
     play.sums = {"a": (9, 0, math.nan), "b": (0, 0, 50), "c": (9, 0, -5), "d": (9, 0, 900), "e": (9, 0, 90)}
     play.run(12)
-    play.matches("unheard")
+    play.matches("invalid_readings")
 
 
-def test_a_mean_of_no_answers_says_nothing():
+def test_the_mean_latency_of_a_report_without_good_answers_is_ignored():
     traces = []
     for mean in (0.0, math.nan):
         play = Play()
@@ -49,19 +49,19 @@
     assert traces[0] == traces[1] and len(traces[0]) > 2
 
 
-def test_draining_and_gone_tasks_leave_at_once_and_return_cold():
+def test_draining_and_gone_tasks_lose_their_lines_at_once_and_return_cold():
     play = Play()
     play.run(1)
     play.hear(changes(line("a", "draining")))
     play.hear(changes(line("b", "gone")))
     play.run(1)
-    play.say("b starts again under its old id")
+    play.say("b restarts under its old id")
     play.hear(changes(line("b", started=2.0)))
     play.run(12)
     play.matches("drain")
 
 
-def test_sums_from_before_a_restart_do_not_speak_against_the_task():
+def test_sums_from_before_a_restart_are_no_evidence_against_the_task():
     play = Play()
     play.run(3)
     play.sums["a"] = (10, 10, 0)
@@ -70,11 +70,11 @@
     play.run(1)
     play.sums["a"] = (3, 0, 200)
     play.run(4)
-    play.matches("former_life")
+    play.matches("sums_before_restart")
 
 
-def test_a_probe_of_the_former_life_does_not_speak_against_the_new_one():
-    """It was on its way when the task went down, and ends after the list has told the restart."""
+def test_a_probe_started_before_a_restart_is_no_evidence_against_the_task():
+    """The probe was in flight when the task stopped, and ends after the list has reported the restart."""
     play = Play()
     play.run(3)
     play.hear(changes(line("b", started=2.9)))
@@ -87,47 +87,47 @@
 
 
 @pytest.mark.parametrize(
-    "told",
+    "events",
     [
-        [changes(line("b", started=2.9))],  # it restarted, and was never away
-        [changes(line("b", "draining"), line("b", started=2.9))],  # the leaving had not been applied yet
+        [changes(line("b", started=2.9))],  # the list never named it as draining or gone
+        [changes(line("b", "draining"), line("b", started=2.9))],  # its drain has not been ordered yet
     ],
 )
-def test_the_line_of_a_former_life_goes_at_once_however_busy_the_channel_is(told):
-    """A cold task is not to bear what it bore when it was warm until there is room for matters of health."""
+def test_the_line_of_a_restarted_task_is_removed_at_once_however_busy_the_channel_is(events):
+    """Otherwise the cold task would keep its warm weight until the channel has room for health changes."""
     play = Play(proxies=200, channel_lines=1_000, queue_limit=40_000)
     play.run(3)
     play.brain.queue = play.brain.unacknowledged = 5_000
-    play.hear(*told)
+    play.hear(*events)
     assert play.trace[-1] == "  3.0  b=0" and not any(table.weights.get("b") for table in play.brain.tables)
 
 
-@pytest.mark.parametrize("told_by", ["sums", "probes", "busy_cores"])
-def test_cold_tasks_stay_out_while_there_is_no_calm(told_by):
+@pytest.mark.parametrize("indicator", ["sums", "probes", "busy_cores"])
+def test_cold_tasks_get_no_line_in_an_overload(indicator):
     play = Play()
-    if told_by == "sums":
+    if indicator == "sums":
         play.sums = {t: (20, 9, 900) for t in "abcd"}
-    elif told_by == "probes":
+    elif indicator == "probes":
         play.probes = dict.fromkeys("abcd", "timeout")
     else:
         play.load = {"busy": 1.0}
     play.run(8)
     play.hear(changes(line("e", started=7.5)))
-    play.say(f"e starts; {told_by} tell that all is full")
+    play.say(f"e starts; {indicator} show an overload")
     play.run(5)
-    assert not any("e=" in shown for shown in play.trace)
+    assert not any("e=" in entry for entry in play.trace)
 
 
-def test_cold_tasks_carry_on_where_proxies_avoid_none():
+def test_cold_tasks_get_lines_though_many_calls_fail_where_proxies_never_avoid_tasks():
     play = Play(strikes=0)
     play.sums = {t: (20, 9, 900) for t in "abcd"}
     play.run(8)
     play.hear(changes(line("e", started=7.5)))
     play.run(5)
-    assert any("e=" in shown for shown in play.trace)
+    assert any("e=" in entry for entry in play.trace)
 
 
-def test_a_cold_line_goes_wholly_before_all_calm_is_gone():
+def test_a_cold_line_is_removed_entirely_before_health_reaches_zero():
     play = Play()
     play.run(2)
     play.hear(changes(line("e", started=1.9)))
@@ -135,19 +135,19 @@
     play.say("a fifth of all calls fail")
     play.sums = {t: (20, 4, 200) for t in "abcde"}
     play.run(4)
-    play.matches("cold_line_goes")
+    play.matches("cold_line_removed")
 
 
-def test_cold_tasks_alone_stand_once_they_can_carry_the_load():
+def test_cold_tasks_alone_get_lines_once_they_can_carry_the_load():
     play = Play()
     play.run(1)
     play.hear(changes(*(line(t, "gone") for t in "abcd")))
     play.hear(changes(line("e", started=1), line("f", started=1)))
     play.run(12)
-    play.matches("cold_alone")
+    play.matches("cold_tasks_only")
 
 
-def test_a_bad_task_is_taken_out_and_returns_by_evidence():
+def test_a_faulty_task_is_ejected_and_readmitted_by_evidence():
     play = Play()
     play.run(3)
     play.say("a fails all its calls")
@@ -156,15 +156,15 @@
     play.say("a answers again")
     play.sums["a"], play.probes["a"] = (3, 0, 200), "ok"
     play.run(4)
-    play.say("a relapses: held out for longer")
+    play.say("a fails again: it is ejected for longer")
     play.sums["a"], play.probes["a"] = (10, 10, 0), "timeout"
     play.run(2)
     play.sums["a"], play.probes["a"] = (0, 0, 0), "ok"
     play.run(9)
-    play.matches("bad_task")
+    play.matches("faulty_task")
 
 
-def test_overload_takes_nobody_out():
+def test_no_task_is_ejected_in_an_overload():
     play = Play()
     play.sums = {t: (20, 14, 900) for t in "abcd"}
     play.probes = dict.fromkeys("abcd", "timeout")
@@ -172,91 +172,91 @@
     play.matches("overload")
 
 
-def test_a_task_that_answers_slowly_is_eased_not_taken_out():
+def test_a_slow_task_gets_a_smaller_share_instead_of_being_ejected():
     play = Play()
     play.run(3)
     play.sums["a"], play.probes["a"] = (20, 12, 900), "timeout"
     play.run(8)
-    play.matches("jammed_task")
+    play.matches("slow_task")
 
 
-def test_admission_lets_in_less_of_the_least_important_route_and_only_while_short():
+def test_the_least_important_routes_are_cut_first_and_only_while_capacity_is_short():
     play = Play(level_kind="fraction")
     play.run(3)
     play.say("every task answers late, all cores are busy")
     play.sums, play.load = {t: (20, 5, 1500) for t in "abcd"}, {"busy": 1.0}
     play.run(6)
-    play.say("calls that waited are still late, but cores idle: no less and no more")
+    play.say("calls that waited are still late, but cores are idle: neither less nor more is admitted")
     play.load = {"busy": 0.4}
     play.run(6)
-    play.say("and well again")
+    play.say("all tasks answer in time again")
     play.sums = {t: (20, 0, 200) for t in "abcd"}
     play.run(12)
     play.matches("admission")
 
 
-def test_where_levels_are_rates_all_that_comes_is_let_in():
-    """A level of 1 is all of a share, and one call a second at each proxy where settings make it a rate."""
-    shown = {}
+def test_where_levels_are_rates_a_high_rate_admits_everything():
+    """As a share, a level of 1 admits everything; as a rate, it admits one call a second at each proxy."""
+    admissions = {}
     for kind in ("per_second", "fraction", "none"):
         play = Play(level_kind=kind, tries="once")
         play.sums = dict.fromkeys("abcd", (10, 5, 200))
         play.run(6)
-        shown[kind] = [line[7:] for line in play.trace if "admit" in line]
-    rates = [re.findall(r"(\d\S*), tries (\w+)", line) for line in shown["per_second"]]
-    assert rates == [[("1e+06", "on")], [("1e+06", "none")]] and len(shown["none"]) == 2
+        admissions[kind] = [entry[7:] for entry in play.trace if "admit" in entry]
+    rates = [re.findall(r"(\d\S*), tries (\w+)", entry) for entry in admissions["per_second"]]
+    assert rates == [[("1e+06", "on")], [("1e+06", "none")]] and len(admissions["none"]) == 2
 
 
-def test_admission_is_not_moved_by_one_bad_task():
+def test_one_faulty_task_does_not_change_admission():
     play = Play(level_kind="fraction")
     play.sums["a"], play.load = (20, 20, 0), {"busy": 0.75}
     play.run(6)
-    assert sum("admit" in shown for shown in play.trace) == 1  # the levels it starts with
+    assert sum("admit" in entry for entry in play.trace) == 1  # the initial levels
 
 
-def test_the_last_warm_line_stays_though_it_fails():
+def test_the_last_warm_line_is_kept_though_its_task_fails():
     play = Play(tasks="ab")
     play.run(1)
     play.hear(changes(line("a", "gone")))
     play.sums, play.probes = {"b": (10, 10, 0)}, {"b": "timeout"}
     play.run(6)
-    play.matches("last_line")
+    play.matches("last_warm_line_fails")
 
 
-def test_a_task_held_bad_stands_again_when_it_is_the_last_warm_one():
+def test_an_ejected_task_gets_its_line_back_when_it_is_the_last_warm_one():
     play = Play()
     play.run(3)
     play.sums["a"], play.probes["a"] = (10, 10, 0), "error"
     play.run(2)
     play.hear(changes(*(line(t, "draining") for t in "bcd")))
     play.run(1)
-    play.matches("last_warm")
+    play.matches("last_warm_task_ejected")
 
 
-def test_a_slow_task_keeps_a_floor_of_calls():
+def test_a_slow_task_keeps_a_minimum_share():
     play = Play()
     play.sums["a"] = (10, 0, 4000)
     play.run(25)
-    play.matches("floor")
+    play.matches("minimum_share")
 
 
-def test_a_full_channel_makes_even_drains_wait():
+def test_even_drains_wait_while_the_channel_is_full():
     play = Play(channel_lines=20.0, queue_limit=40.0)
     play.run(8)
     for task in "abc":
         play.hear(changes(line(task, "draining")))
     play.run(4)
-    play.matches("channel")
+    play.matches("full_channel")
 
 
-def test_joins_are_bound_at_once_also_all_at_one_moment():
+def test_joining_proxies_are_bound_at_once_even_all_at_the_same_time():
     play = Play(proxies=3)
     play.run(1)
     play.hear(*(gp.ProxyLeft(p) for p in range(3)))
     play.hear(gp.ProxyLeft(9), gp.Applied(1, 1, 0), gp.RouteSums(1, 0, 5, 0, 10_000))
     play.now += 200_000
     play.hear(*(gp.ProxyJoined(p, 20.0, False, "z") for p in range(3)))
-    play.say("proxy 1 joins again though it never left; then one joins just as a step moves nothing")
+    play.say("proxy 1 joins again without having left; then one joins as an adjustment changes no weight")
     play.hear(gp.ProxyJoined(1, 20.0, False, "z"))
     play.report_at = play.now + 10_000
     play.run(2.1)
@@ -277,31 +277,31 @@
     play.matches("message_cap")
 
 
-def test_asks_again_for_a_lost_list_with_growing_spread_waits():
+def test_resubscribes_after_a_lost_list_with_growing_randomised_backoff():
     play = Play(list_mode="ask", must_ask_in=100_000)
     for _ in range(4):
         play.hear(gp.ListHeard("lost", ()))
         play.run(3)
-    play.matches("ask")
+    play.matches("resubscribe_backoff")
 
 
-def test_a_list_that_shrinks_to_nothing_and_sums_of_the_gone():
+def test_an_empty_list_removes_the_lines_and_sums_of_gone_tasks_are_ignored():
     play = Play()
     play.run(1)
     play.hear(gp.ListHeard("full", ()))
     play.hear(gp.TaskSums("a", "z", 9, 9, 0.0, 10_000, {}), gp.ProbeAnswered("zz", 5, "ok", {}))
     play.run(3)
     play.hear(gp.ListHeard("full", tuple(line(t) for t in "abc")))
-    play.matches("shrinks")
+    play.matches("list_emptied")
     play = Play(gone_binds=False)
     play.hear(changes(line("a", "draining")))
     play.hear(gp.ListHeard("full", ()))
     play.run(3)
-    play.matches("shrinks_where_gone_does_not_bind")
+    play.matches("list_emptied_gone_not_binding")
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_same_events_same_orders(seed):
+def test_the_same_events_lead_to_the_same_orders(seed):
     traces = []
     for _ in range(2):
         play = Play(list_mode="ask")
@@ -312,7 +312,7 @@
     assert traces[0] == traces[1] and len(traces[0]) > 2
 
 
-def test_many_joins_fill_the_queue_only_in_part_and_what_left_is_shut_out_meanwhile():
+def test_binds_of_many_joining_proxies_leave_room_in_the_queue_for_a_drain():
     play = Play(proxies=0, queue_limit=100.0, channel_lines=100.0)
     play.hear(*(gp.ProxyJoined(p, 10.0 + p, True, "z") for p in range(8)))
     play.hear(changes(line("a", "draining")))
@@ -320,8 +320,8 @@
     play.matches("many_joins")
 
 
-def test_tasks_that_left_are_shut_out_as_the_queue_has_room_and_answers_to_it_prove_little():
-    """Most assigners die, and all their proxies come at once, with tables of tasks that are leaving."""
+def test_withdrawals_keep_to_the_queue_limit_and_their_acknowledgements_prove_little():
+    """Most assigners fail, and all their proxies join at once, with tables that list draining tasks."""
     play = Play("abcdefghijklmnopqrst", 10, queue_limit=900.0, channel_lines=400.0, applies=False)
     play.hear(*(gp.ProxyJoined(p, 5.0, False, "z") for p in range(10, 60)))
     play.say(f"60 proxies, reckoned to wait: {play.brain.queue:.0f} of 900 lines")
@@ -333,26 +333,26 @@
     mark = play.brain.mark
     play.hear(*(gp.Applied(p, mark, 0) for p in range(50, 52)))
     play.say(f"two proxies answer to what shut tasks out: {play.brain.queue:.0f} lines")
-    play.matches("shut_out_in_room")
+    play.matches("withdrawals_within_queue_limit")
 
 
-def test_where_binding_all_takes_too_long_there_are_smaller_tables_each_for_a_part_of_the_proxies():
+def test_smaller_tables_are_used_where_binding_all_proxies_would_take_too_long():
     names = [f"t{n:02}" for n in range(24)]
     play = Play(names, 40, queue_limit=4_000.0, channel_lines=200.0)
-    play.say("24 tasks, 40 proxies, 200 lines a second: the whole table would take 7 s of the channel")
+    play.say("24 tasks, 40 proxies, 200 lines a second: binding all to one table would take the channel 7 s")
     for table in play.brain.tables:
         play.say(f"table {table.number}: {len(table.weights)} lines, {len(table.channel_proxies)} proxies")
     play.run(1)
     one = play.brain.tables[1]
     play.hear(changes(*(line(k, "draining") for k in [*one.weights][:-1])))
-    play.say("of the second all but one leave: it gets lines of the largest; few others hear of it")
+    play.say("all but one task of table 2 drain: it gets lines of the largest; few others get messages")
     play.run(4)
     held = [k for table in play.brain.tables for k in table.weights]
     assert sorted(held) == sorted(set(held)) and all(len(t.weights) > 1 for t in play.brain.tables)
     play.matches("smaller_tables")
 
 
-def test_answers_are_known_however_many_replies_wait_in_the_channel():
+def test_acknowledgements_are_matched_however_many_batches_are_in_the_channel():
     play = Play("abcd", 0, queue_limit=9_000.0, channel_lines=1_000.0, applies=False)
     for p in range(100):
         play.hear(gp.ProxyJoined(p, 5.0, True, "z"))
@@ -361,7 +361,7 @@
     assert play.brain.queue == 90 * 15 and len(play.brain.sent_batches) == 90
 
 
-def test_a_lost_stream_takes_its_lines_along_and_order_proves_nothing_for_a_while():
+def test_lines_of_a_broken_stream_leave_the_queue_and_order_proves_nothing_for_a_while():
     play = Play("abcd", 60, queue_limit=3_500.0, channel_lines=700.0, applies=False)
     play.say(f"60 proxies are bound: {play.brain.queue:.0f} lines wait")
     play.hear(gp.ProxyJoined(60, 5.0, True, "z"))
@@ -377,33 +377,33 @@
     play.brain.queue_updated_at = play.now
     play.hear(gp.Applied(31, mark, 0))
     play.say(f"long after, another: {play.brain.queue:.0f}")
-    play.matches("lost_stream")
+    play.matches("broken_stream")
 
 
-def test_levels_that_hold_unordered_are_not_ordered_until_they_change():
+def test_levels_that_apply_without_orders_are_not_ordered_until_they_change():
     play = Play(tries="on proof")
     play.run(3)
-    play.say("most fail")
+    play.say("most calls fail")
     play.sums = {t: (20, 12, 200) for t in "abcd"}
     play.run(3)
-    play.matches("levels_unsaid")
+    play.matches("levels_without_orders")
 
 
-def test_who_keeps_an_older_table_is_shut_out_of_all_that_left_however_many():
+def test_all_departed_tasks_are_withdrawn_from_a_proxy_that_keeps_an_older_table():
     play = Play("abcdefgh", 0, grace=30_000)
     play.run(0.1)
     play.hear(changes(*(line(k, "draining") for k in "abcdefg")))
     play.hear(gp.ProxyJoined(0, 5.0, False, "z"))
-    play.say("its 7 lines may all be of tasks that left, a bind would cost less, but comes in 6 s")
+    play.say("its 7 lines may all be of departed tasks; a bind would cost less, but comes only in 6 s")
     play.run(1)
-    assert sum("withdraw" in shown for shown in play.trace) == 1
-    play.matches("shut_out_of_many")
+    assert sum("withdraw" in entry for entry in play.trace) == 1
+    play.matches("withdrawals_for_older_table")
 
 
-def test_shut_outs_that_nobody_holds_a_line_of_do_not_hold_up_the_next_ones():
+def test_withdrawals_of_lines_that_no_proxy_holds_do_not_delay_the_next_ones():
     """After a restart all proxies keep older tables, none with a line of the many tasks that left long ago.
-    What is ordered of those never is in the channel; believed to wait there, it kept the shut-out of a task
-    that left later from a proxy that came later, which went on calling it."""
+    Withdrawals of these tasks never enter the channel. Counted in the queue, they delayed the withdrawal of
+    a task that left later from a proxy that joined later, which went on calling it."""
     play = Play("abcdefghijklmnopqrst", 0, queue_limit=900.0, channel_lines=400.0)
     play.sums = {}
     play.hear(*(gp.ProxyJoined(p, 5.0, False, "z") for p in range(30)))
@@ -412,12 +412,12 @@
     play.hear(changes(line("m", "draining")))
     play.run(0.2)
     play.hear(gp.ProxyJoined(30, 5.0, False, "z"))
-    play.say("the last one joins, with a line of m; nobody has one of a to l")
+    play.say("the last proxy joins, with a line of m; no proxy has one of a to l")
     play.run(2.4)
-    play.matches("shut_out_of_nothing_held")
+    play.matches("withdrawals_of_lines_not_held")
 
 
-def test_a_task_is_shut_out_only_once_its_line_is_gone_or_the_bound_would_pay_for_it_too():
+def test_a_task_is_withdrawn_only_after_its_line_was_removed_from_bound_proxies():
     play = Play("abcdef", 40, queue_limit=1_000.0, channel_lines=400.0, applies=False)
     play.hear(gp.ProxyJoined(40, 5.0, False, "z"))
     play.hear(changes(line("a", "draining")))
@@ -425,10 +425,10 @@
     play.say(f"{play.brain.queue:.0f} of 1000 lines wait: no room for one more drain at the bound")
     play.hear(changes(line("b", "draining")))
     play.run(6)
-    play.matches("shut_out_after_its_line")
+    play.matches("withdrawal_after_line_removal")
 
 
-def test_newcomers_start_as_tasks_of_their_kind_and_thin_readings_lean_on_it():
+def test_a_kind_gives_the_share_of_new_tasks_and_corrects_readings_of_few_calls():
     play = Play(tasks="")
     kinds = {"a": "big", "b": "big", "c": "small", "d": "small"}
     play.hear(gp.ListHeard("full", tuple(line(t, kind=kind) for t, kind in kinds.items())))
@@ -436,10 +436,10 @@
     play.run(12)
     play.hear(changes(line("e", kind="small"), line("f", kind="big")))
     play.run(0.5)
-    play.matches("kinds")
+    play.matches("machine_kinds")
 
 
-def test_a_list_that_drops_tasks_without_a_drain_is_evidence_only():
+def test_being_dropped_from_the_list_without_a_drain_only_counts_as_evidence():
     play = Play(gone_binds=False)
     play.run(3)
     play.hear(changes(*(line(t, "gone") for t in "abc")))
@@ -447,22 +447,22 @@
     play.sums["a"], play.probes["a"] = (4, 4, 0), "unreachable"
     play.run(3)
     play.hear(gp.ListHeard("full", tuple(line(t) for t in "abcd")))
-    play.say("the true list is back")
+    play.say("the list is correct again")
     play.run(1)
     play.matches("wrong_list")
 
 
-def test_nothing_is_tried_again_while_most_tasks_fail():
+def test_retries_stop_while_most_tasks_fail():
     play = Play()
     play.run(2)
     play.sums = {t: (20, 8, 300) for t in "abcd"}
     play.run(2)
     play.sums = {t: (20, 0, 300) for t in "abcd"}
     play.run(6)
-    play.matches("tries")
+    play.matches("retries_stopped")
 
 
-def test_a_long_queue_takes_the_most_urgent_and_largest_changes_first():
+def test_while_the_queue_is_long_the_most_urgent_and_largest_changes_go_first():
     play = Play(tasks="abcdefgh", proxies=10, queue_limit=200.0, channel_lines=150.0)
     play.run(2)
     play.sums |= {"a": (30, 0, 50), "b": (30, 0, 1000), "c": (30, 0, 120)}
@@ -472,7 +472,7 @@
     play.matches("urgent_first")
 
 
-def test_bad_input_is_passed_over():
+def test_invalid_input_is_ignored():
     play = Play(list_mode="ask")
     play.run(1)
     play.hear(gp.ListHeard("full", (line("a"), line("a"), line("z", "draining"), line("b", "gone"))))
@@ -494,10 +494,10 @@
     play.run(8)
     play.hear(gp.ListHeard("full", ()))
     play.run(2)
-    play.matches("bad_input")
+    play.matches("invalid_input")
 
 
-def test_each_assigner_orders_its_part_where_the_whole_overruns_the_channel():
+def test_each_assigner_orders_its_part_where_all_tasks_exceed_the_channel():
     names = [f"t{n:02}" for n in range(36)]
     for rank in range(2):
         play = Play(tasks=names, proxies=4, total=8, queue_limit=160.0, assigners=2, rank=rank)
@@ -505,19 +505,20 @@
         assert sorted(laid(play.brain)) == names[18 * rank :][:18]
     play.hear(*(gp.ProxyJoined(p, 20.0, False, "z") for p in range(4, 8)))
     play.run(30)
-    assert sorted(laid(play.brain)) == names  # the other assigner is gone, and its proxies came over
+    assert sorted(laid(play.brain)) == names  # the other assigner failed; its proxies have joined this one
 
 
-def test_a_whole_that_fits_the_queue_but_takes_the_channel_long_is_ordered_in_parts_too():
-    """Three tables of a third each were dealt instead: a release left one of them two lines (join+vast)."""
+def test_parts_are_also_used_where_all_tasks_fit_the_queue_but_take_the_channel_too_long():
+    """Three tables of a third of the tasks each were used instead: a release left one of them with two lines
+    (scenario join+vast)."""
     names = [f"t{n:02}" for n in range(36)]
     play = Play(names, 20, total=40, queue_limit=1_000.0, channel_lines=200.0, assigners=2)
     play.run(6)
     assert sorted(laid(play.brain)) == names[:18] and len(play.brain.tables) == 1
 
 
-def test_what_health_changes_goes_together_once_little_waits_in_the_channel():
-    """Pushes of a line each kept the channel full of heads, and all took effect when the last had left."""
+def test_health_changes_are_sent_together_once_little_is_queued():
+    """Pushes of one line each filled the channel with heads, and none took effect until the last had left."""
     play = Play("abcdefghij", 31, queue_limit=4_000.0, channel_lines=165.0)
     play.run(5)
     play.coming, play.applies = [], False
@@ -527,11 +528,12 @@
         play.run(0.5)
     play.hear(*(gp.Applied(p, play.brain.mark, 0) for p in range(31)))
     play.run(0.2)
-    play.matches("health_together")
+    play.matches("health_changes_together")
 
 
-def test_the_limit_on_outs_is_of_the_own_part():
-    """It was of all that are listed, most of which others order: half of the own were out (zone+mass)."""
+def test_the_ejection_limit_is_a_share_of_the_own_part():
+    """As a share of all listed tasks, most of which other assigners order, the limit let half of the own part
+    be ejected (scenario zone+mass)."""
     names = [f"t{n:02}" for n in range(36)]
     play = Play(names, 4, total=8, queue_limit=160.0, assigners=2)
     play.run(3)
@@ -540,8 +542,9 @@
     assert 0 < sum(t.ejected for t in play.brain.tasks.values()) <= 5  # 0.3 of 18
 
 
-def test_probes_that_fail_end_calm_by_their_share_of_the_own_part():
-    """Only the own part is probed: counted among all that are listed, a jam of the whole part was none."""
+def test_health_falls_with_the_share_of_failing_probes_in_the_own_part():
+    """Only the own part is probed: as a share of all listed tasks, an overload of the whole part went
+    unnoticed."""
     names = [f"t{n:02}" for n in range(36)]
     play = Play(names, 4, total=8, queue_limit=160.0, assigners=2)
     play.probes = dict.fromkeys(names[:14], "error")
@@ -549,26 +552,27 @@
     assert play.brain.health() < 0.5
 
 
-def test_failures_are_held_against_what_the_median_call_meets():
-    """In a jam most calls were at few lines, and the median line met none of it: all was taken for faults."""
+def test_failures_are_compared_with_those_that_the_median_call_meets():
+    """In an overload most calls went to few tasks, and the median task had no failures: by that measure, all
+    failures counted as faults."""
     play = Play("abcdefgh")
     play.run(3)
     play.sums |= dict.fromkeys("abc", (60, 36, 300)) | dict.fromkeys("defgh", (6, 0, 300))
     play.run(6)
-    assert not any("taken out" in shown for shown in play.trace)
+    assert not any("taken out" in entry for entry in play.trace)
 
 
-def test_a_hold_counts_periods_not_how_long_reports_take_to_go_round():
+def test_an_ejection_lasts_report_periods_and_not_rounds_of_reports():
     play = Play()
     play.run(3)
     play.brain.report_round = 90_000  # so many pairs that each is told of every 9 s
     play.hear(*(gp.ProbeAnswered("a", 6_000, "timeout", {}) for _ in range(5)))
     play.run(4)
-    assert [shown[7:] for shown in play.trace if "let back" in shown][0].startswith("a=")
+    assert [entry[7:] for entry in play.trace if "let back" in entry][0].startswith("a=")
 
 
-def test_cold_lines_are_reckoned_by_the_calls_of_their_table():
-    """A cold task among the lines of a table with thrice the calls got thrice its part, and fell over."""
+def test_weights_of_cold_tasks_account_for_the_calls_of_their_table():
+    """A cold task in a table with three times the calls got three times its part and failed."""
     play = Play([f"t{n:02}" for n in range(24)], 40, queue_limit=4_000.0, channel_lines=200.0)
     play.run(3)
     play.hear(changes(line("t00", "draining")))
@@ -582,51 +586,52 @@
     assert 0 < calls <= 1.05 * play.brain.call_rate / 24
 
 
-def test_proxies_avoid_tasks_sooner_the_fewer_lines_stand_and_the_more_fail():
+def test_proxies_avoid_tasks_sooner_with_fewer_lines_and_with_more_failures():
     play = Play("abcdefgh", 40, strikes=60)
     assert play.brain.rarely_avoided("abcdefgh") and not play.brain.rarely_avoided("ab")
     play.brain.usual_failure_share = 0.7
     assert not play.brain.rarely_avoided("abcdefgh")
 
 
-def test_a_part_is_as_large_as_the_proxies_that_are_joined():
-    """Dealt by chance, one with a fifth more proxies loaded the tasks of an even part a fifth more."""
+def test_the_own_part_is_as_large_as_the_share_of_the_proxies_that_are_joined():
+    """Proxies are spread by chance: an assigner with a fifth more of them and an even part of the tasks put a
+    fifth more load on these."""
     names = [f"t{n:02}" for n in range(36)]
     play = Play(names, 5, total=8, queue_limit=160.0, assigners=2)
     play.run(6)
     assert len(laid(play.brain)) == 23
 
 
-def test_cold_lines_shrink_with_the_warm_ones():
+def test_weights_of_cold_tasks_shrink_when_warm_tasks_drain():
     play = Play(tasks="abcdefgh")
     play.run(1)
     play.hear(changes(line("i", started=1)))
     play.run(6)
     play.hear(changes(*(line(t, "draining") for t in "abcdef")))
     play.run(0.4)
-    play.matches("cold_shrinks")
+    play.matches("cold_weight_shrinks")
 
 
-def test_an_answered_probe_contradicts_the_list():
+def test_an_answered_probe_refutes_a_list_that_drops_the_task():
     play = Play(gone_binds=False)
     play.run(1)
     play.hear(changes(*(line(t, "gone") for t in "abcd")))
     play.sums = {t: (4, 3, 300) for t in "abcd"}
     play.run(4)
-    assert not any("taken out" in shown for shown in play.trace)
+    assert not any("taken out" in entry for entry in play.trace)
 
 
-def test_less_is_let_in_where_calls_pile_up_though_cores_idle():
+def test_less_is_admitted_where_calls_pile_up_though_cores_are_idle():
     play = Play(level_kind="fraction")
     play.load = {"busy": 0.5, "in_hand": 3.0}
     play.run(4)
-    play.say("all wait for something they share")
+    play.say("all tasks wait for a resource that they share")
     play.sums, play.load = {t: (20, 15, 1900) for t in "abcd"}, {"busy": 0.2, "in_hand": 36.0}
     play.run(4)
-    play.matches("piled")
+    play.matches("backlog")
 
 
-def test_tasks_heard_of_before_they_left_do_not_hide_a_jam():
+def test_old_reports_of_tasks_that_left_the_own_part_do_not_hide_an_overload():
     names = [f"t{n:02}" for n in range(36)]
     play = Play(tasks=names, proxies=8, total=8, queue_limit=160.0, assigners=2)
     play.run(3)
@@ -636,7 +641,7 @@
     assert len(laid(play.brain)) == 18 and play.brain.usual_failure_share > 0.3
 
 
-def test_calls_in_hand_end_calm_before_late_sums_tell():
+def test_calls_in_flight_show_an_overload_before_late_sums_do():
     play = Play()
     play.load = {"in_hand": 2.0}
     play.run(4)
@@ -647,31 +652,31 @@
     assert "e" not in laid(play.brain)
 
 
-def test_cold_lines_grow_only_after_all_warm_changes_fit():
+def test_weights_of_cold_tasks_grow_only_after_all_warm_changes_fit():
     play = Play(tasks="abcdefgh", proxies=10, queue_limit=200.0, channel_lines=150.0)
     play.run(2)
     play.hear(changes(line("i", started=1.9)))
     play.sums |= {t: (30, 0, 50) for t in "abcd"}
     play.run(8)
-    play.matches("cold_last")
+    play.matches("cold_weights_grow_last")
 
 
-def test_orders_that_nothing_confirms_go_out_anew():
+def test_unconfirmed_orders_are_sent_again():
     play = Play(applies=False)
     play.lose(perhaps=False)
     play.lose(perhaps=False)
     play.lose(perhaps=True)
-    play.say("a drain is lost, then what follows it")
+    play.say("a drain is lost, then the orders that follow it")
     play.hear(changes(line("a", "draining")))
     play.lose(perhaps=True)
     play.lose(perhaps=False)
     play.hear(changes(line("a")))
     play.lose(perhaps=True)
     play.run(1)
-    play.matches("lost")
+    play.matches("lost_orders")
 
 
-def test_a_shut_out_task_is_let_back_though_nobody_knows_whether_it_was_out():
+def test_a_withdrawn_task_is_let_back_though_its_withdrawal_is_in_doubt():
     play = Play(proxies=0, queue_limit=260.0, channel_lines=260.0, applies=False, grace=5_000)
     play.hear(*(gp.ProxyJoined(p, 10.0 + p, True, "z") for p in range(12)))
     play.hear(changes(line("a", "draining")))
@@ -679,32 +684,32 @@
     play.lose(perhaps=False)
     play.lose(perhaps=False)
     play.run(2)
-    play.say("and it is ready again")
+    play.say("a is ready again")
     play.hear(changes(line("a")))
     play.run(0.7)
     play.lose(perhaps=True)
     play.run(6)
-    play.matches("lost_shut_out")
+    play.matches("lost_withdrawal")
 
 
-def test_the_levels_go_out_anew():
+def test_lost_levels_are_sent_again():
     play = Play(level_kind="fraction", applies=False)
     play.hear(gp.OrdersLost((gp.Admit(1, (0, 1, 2), 1.0, "on proof"),), True))
     play.run(1)
     play.matches("lost_levels")
 
 
-def test_all_orders_in_doubt_lay_the_table_and_bind_anew_in_one_reply():
+def test_with_all_orders_in_doubt_a_new_table_is_ordered_and_bound_in_one_batch():
     play = Play(level_kind="fraction")
     play.run(2)
     play.hear(gp.OrdersInDoubt(), gp.ProxyJoined(1, 20.0, True, "z"), gp.ProxyLeft(0))
     play.say(f"reckoned to wait: {play.brain.queue:.0f} lines")
-    play.matches("in_doubt")
+    play.matches("orders_in_doubt")
 
 
-def test_after_a_gap_of_the_news_nobody_is_bound_before_the_new_stream_has_named_him():
-    """split+mass 5, 40 nodes: bound at once and, once named, taken for bound to nothing, 69 proxies got each
-    line of the new table without pace or reckoning, and then the whole of it again."""
+def test_after_a_gap_in_the_event_stream_proxies_are_bound_once_the_new_one_names_them():
+    """In scenario split+mass 5 with 40 nodes, 69 proxies were bound at once and taken for unbound once named.
+    They got each line of the new table without pacing and uncounted in the queue, then all of it again."""
     play = Play(proxies=20)
     play.run(3)
     play.hear(gp.OrdersInDoubt())
@@ -714,11 +719,11 @@
         play.say(f"reckoned to wait: {play.brain.queue:.0f} lines")
     play.hear(changes(line("a", "draining")))
     play.say(f"reckoned to wait: {play.brain.queue:.0f} lines")
-    play.matches("gap_named")
+    play.matches("binds_after_stream_gap")
 
 
-def replace(play, old, new, seconds):
-    """A new task under a new id, and soon after it the old one leaves."""
+def replace_task(play, old, new, seconds):
+    """Lists a new task under a new id and, after some seconds, drains and removes the old one."""
     play.hear(changes(line(new, started=play.now / 10_000)))
     play.run(seconds)
     play.hear(changes(line(old, "draining")))
@@ -726,18 +731,18 @@
     play.sums[new] = play.sums.pop(old)
 
 
-def test_new_tasks_are_learned_when_all_the_old_have_left():
+def test_shares_of_new_tasks_are_adjusted_when_all_old_tasks_have_left():
     play = Play(warm_after=20_000)
     play.run(6)
     for old, new in zip("abcd", "wxyz", strict=True):
-        replace(play, old, new, 5)
+        replace_task(play, old, new, 5)
     play.sums["w"] = (10, 0, 800)
-    play.say("all are new; w is slow now")
+    play.say("all tasks have been replaced; w is slow now")
     play.run(15)
-    play.matches("all_new")
+    play.matches("all_tasks_replaced")
 
 
-def test_sums_that_were_lost_or_had_no_tries_do_not_make_the_next_ones_old():
+def test_missing_sums_or_sums_without_tries_do_not_make_the_next_ones_count_as_old():
     play = Play(tasks="abcdef")
     play.run(4)
     silent = {k: play.sums.pop(k) for k in "ab"}
@@ -747,20 +752,20 @@
     assert set(play.brain.counted_until.values()) == {play.now - 10_000} and laid(play.brain)["f"] < 0.7
 
 
-@pytest.mark.parametrize("binds", [True, False])
-def test_what_has_left_for_good_is_given_up(binds):
-    play, kept = Play(queue_limit=400.0, gone_binds=binds), []
+@pytest.mark.parametrize("gone_binds", [True, False])
+def test_state_of_tasks_that_left_for_good_is_removed(gone_binds):
+    play, kept = Play(queue_limit=400.0, gone_binds=gone_binds), []
     for n, old in enumerate([*"abcd", *(f"t{n}" for n in range(160))]):
-        if n % 9 == 0:  # some come while there is no room: tasks are shut out, and let back when forgotten
+        if n % 9 == 0:  # some join while there is no room: tasks are withdrawn, and let back once removed
             play.hear(*(gp.ProxyJoined(p, 5.0, True, "z") for p in range(n % 5, 12)))
         play.probes[old] = "timeout"
-        replace(play, old, f"t{n}", 2)
+        replace_task(play, old, f"t{n}", 2)
         kept.append({k: len(v) for k, v in vars(play.brain).items() if isinstance(v, dict | list)})
     assert all(size <= 64 for size in kept[-1].values()), kept[-1]
     assert set(play.brain.tasks) <= set(play.brain.lines) == set(play.brain.changed_at)
 
 
-def test_weights_are_not_held_up_by_drains_one_after_the_other():
+def test_successive_drains_do_not_delay_weight_changes():
     play = Play(tasks="abcdefghijklmnop")
     play.sums["a"] = (10, 0, 800)
     play.run(4)
@@ -770,7 +775,7 @@
     play.matches("weights_among_drains")
 
 
-def test_what_cannot_be_is_no_evidence():
+def test_uninformative_probes_and_invalid_sums_are_no_evidence():
     play, other = Play(), Play()
     for _ in range(6):
         play.run(1)
@@ -784,12 +789,12 @@
     assert play.trace == other.trace and play.brain.tasks["a"].fault_evidence <= 0
 
 
-def test_the_queue_is_believed_no_shorter_than_answers_prove():
-    """A channel that stands still, and a gap of the news that may have lost every order."""
+def test_the_estimated_queue_is_no_shorter_than_acknowledgements_prove():
+    """Covers a stalled channel, and a gap in the event stream that may have lost every order."""
     play = Play(tasks="abcdefgh", proxies=20, queue_limit=600.0, channel_lines=400.0)
     play.run(3)
     play.applies = False
-    play.say("no answers come from here on")
+    play.say("no acknowledgements arrive from here on")
     for name in "hgf":
         play.hear(changes(line(name, "draining")))
         play.run(0.9)
@@ -802,44 +807,44 @@
     number = play.brain.tables[0].number
     play.say(f"reckoned to wait: {play.brain.queue:.0f} lines for {count} bound to table {number}")
     play.run(4)
-    play.matches("queue")
+    play.matches("estimated_queue")
 
 
-@pytest.mark.parametrize("what", ["some_are_gone", "all_are_gone", "only_probes_fail"])
-def test_tasks_that_nothing_listens_at_any_more_leave_however_many(what):
+@pytest.mark.parametrize("situation", ["some_unreachable", "all_unreachable", "only_probes_fail"])
+def test_failing_unreachable_tasks_are_ejected_beyond_the_limit_unless_most_are(situation):
     play = Play(tasks="abcdefghij")
     play.run(4)
-    for name in "abcd" if what == "some_are_gone" else "abcdefghij":
+    for name in "abcd" if situation == "some_unreachable" else "abcdefghij":
         play.probes[name] = "unreachable"
-        if what != "only_probes_fail":
+        if situation != "only_probes_fail":
             play.sums[name] = (10, 10, 0)
-    play.say(what.replace("_", " "))
+    play.say(situation.replace("_", " "))
     play.run(8)
     play.probes.clear()
     play.sums = dict.fromkeys("abcdefghij", (10, 0, 200))
     play.say("all answer again")
     play.run(12)
-    play.matches(what)
+    play.matches(situation)
 
 
-def test_after_a_start_among_proxies_that_hold_tables_these_stand_until_the_first_step():
+def test_after_a_start_inherited_tables_are_kept_until_the_first_adjustment():
     play = Play(tasks="abcde", proxies=0)
     play.hear(*(gp.ProxyJoined(p, 20.0, False, "z") for p in range(2)), gp.ProxyJoined(2, 20.0, True, "z"))
     play.sums |= {"a": (40, 0, 200), "b": (5, 0, 200)}
     play.run(1)
     play.hear(changes(line("e", "draining")))
     play.run(6)
-    play.say("and where no sums come")
+    play.say("the same where no sums arrive")
     play.hear(*(gp.ProxyLeft(p) for p in range(3)))
     silent = Play(proxies=0)
     silent.sums = {}
     silent.hear(gp.ProxyJoined(0, 20.0, False, "z"))
     silent.run(7)
     play.trace += silent.trace
-    play.matches("heir")
+    play.matches("inherited_tables")
 
 
-def test_fresh_proxies_that_still_wait_for_room_tell_no_shares():
+def test_calls_of_fresh_proxies_that_wait_for_a_bind_are_not_taken_for_shares():
     play = Play(proxies=0, queue_limit=200.0, applies=False)
     play.run(0.5)
     play.hear(*(gp.ProxyJoined(p, 20.0, True, "z") for p in range(20)))
@@ -851,15 +856,15 @@
 
 
 class Relay:
-    """Carries orders out, or loses them, as a draw has it; knows what then stands."""
+    """Applies orders or loses them at random, and keeps the resulting state."""
 
     def __init__(self, seed):
-        self.draw, self.tables, self.bound, self.out = random.Random(seed).random, {}, {}, {}
+        self.draw, self.tables, self.bound, self.withdrawn = random.Random(seed).random, {}, {}, {}
 
-    def hear(self, orders, loses):
-        """What the brain is to hear of these orders."""
+    def receive(self, orders, loss_probability):
+        """Applies or loses these orders; returns the events that the Brain gets for them."""
         orders = tuple(o for o in orders if not isinstance(o, gp.Timer | gp.Note | gp.Probe))
-        lost, perhaps = self.draw() < loses, self.draw() < 0.5
+        lost, perhaps = self.draw() < loss_probability, self.draw() < 0.5
         for o in () if lost and (not perhaps or self.draw() < 0.5) else orders:
             match o:
                 case gp.SetLine():
@@ -867,19 +872,19 @@
                 case gp.Bind():
                     self.bound[o.proxy] = o.table
                 case gp.Withdraw():
-                    self.out[o.task] = o.out
+                    self.withdrawn[o.task] = o.out
         return [gp.OrdersLost(orders, perhaps)] if lost and orders else []
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_whatever_is_lost_the_relay_ends_with_the_table_that_the_brain_holds(seed):
+def test_after_lost_orders_the_relay_ends_with_the_table_that_the_brain_holds(seed):
     relay, draw = Relay(seed), random.Random(seed).random
     play = Play(tasks="abcd", proxies=0, queue_limit=400.0, channel_lines=400.0)
     relay.tables = {1: dict(laid(play.brain))}
     for turn in range(400):
-        calm = turn > 250
-        events = relay.hear(play.last, 0 if calm else 0.4)
-        if not calm:
+        reliable = turn > 250
+        events = relay.receive(play.last, 0 if reliable else 0.4)
+        if not reliable:
             name, proxy = "abcdef"[int(draw() * 6)], int(draw() * 9)
             if draw() < 0.1:
                 state = ("ready", "draining", "gone")[int(draw() * 3)]
@@ -888,32 +893,32 @@
                 relay.bound.pop(proxy, None)
                 events.append(gp.ProxyLeft(proxy) if draw() < 0.3 else gp.ProxyJoined(proxy, 5.0, True, "z"))
             if draw() < 0.02:
-                if draw() < 0.5:  # else it goes on with all it was given
-                    relay.tables, relay.bound, relay.out = {}, {}, {}
+                if draw() < 0.5:  # else the relay keeps its state
+                    relay.tables, relay.bound, relay.withdrawn = {}, {}, {}
                 events.append(gp.OrdersInDoubt())
                 events += [gp.ProxyJoined(p, 5.0, False, "z") for p in play.brain.proxies]
         play.now += 1_000 * (turn % 2)
         play.hear(*events)
-    relay.hear(play.last, 0)
+    relay.receive(play.last, 0)
     brain = play.brain
     number = brain.tables[0].number
-    stands = {k: weight for k, weight in relay.tables[number].items() if weight}
-    assert stands == {k: round(weight, 3) for k, weight in laid(brain).items()}
+    applied_weights = {k: weight for k, weight in relay.tables[number].items() if weight}
+    assert applied_weights == {k: round(weight, 3) for k, weight in laid(brain).items()}
     assert relay.bound == dict.fromkeys(relay.bound, number) and set(relay.bound) == set(brain.proxies)
     assert all(p.bound for p in brain.proxies.values())
-    assert not any(relay.out.get(k) for k in stands)
+    assert not any(relay.withdrawn.get(k) for k in applied_weights)
 
 
-def with_follower(rate=5_000.0, **how):
-    play = Play(**how)
+def play_with_follower(rate=5_000.0, **options):
+    play = Play(**options)
     play.hear(gp.ProxyJoined(70_000, rate, True, "z", aside=True))
     return play
 
 
-def test_a_follower_aside_is_bound_and_moves_nothing_behind_the_channel():
-    """It carries most calls and never answers a seal: steps, weights, queue and levels are as without it."""
-    queues = []
-    for play in (Play(), with_follower()):
+def test_an_external_follower_is_bound_and_changes_nothing_behind_the_channel():
+    """It carries most calls and never acknowledges; shares, weights, queue and levels are as without it."""
+    results = []
+    for play in (Play(), play_with_follower()):
         play.sums["a"], queue = (10, 0, 400), []
         for _ in range(120):
             play.run(0.1)
@@ -921,30 +926,30 @@
         play.hear(changes(line("b", "draining")))
         play.hear(gp.ProxyJoined(5, 20.0, True, "z"))
         play.run(3)
-        queues.append(
+        results.append(
             (
                 queue,
                 [
-                    x.replace(", bind 70000", "").replace("bind 70000, ", "")
-                    for x in play.trace
-                    if not x.endswith("  bind 70000")
+                    entry.replace(", bind 70000", "").replace("bind 70000, ", "")
+                    for entry in play.trace
+                    if not entry.endswith("  bind 70000")
                 ],
                 play.brain.written_lines,
             )
         )
-    assert queues[0] == queues[1] and len(queues[0][1]) > 4
+    assert results[0] == results[1] and len(results[0][1]) > 4
     assert play.brain.proxies[70_000].bound is True
 
 
-def test_a_followers_answer_says_nothing_of_the_channel():
-    play = with_follower(applies=False)
+def test_an_external_followers_acknowledgement_does_not_change_the_queue():
+    play = play_with_follower(applies=False)
     play.run(1)
     waiting = play.brain.queue
     play.hear(gp.Applied(70_000, play.brain.mark, 5))
     assert play.brain.queue == waiting > 0
 
 
-def test_followers_have_nobody_shut_out_and_wait_like_proxies_after_a_restart():
+def test_external_followers_cause_no_withdrawals_and_wait_like_proxies_after_a_restart():
     play = Play(proxies=0)
     play.sums = {}
     play.hear(gp.ProxyJoined(70_000, 5.0, False, "z", aside=True))
@@ -957,7 +962,7 @@
 
 
 def test_sums_count_from_the_first_proxy_behind_the_channel():
-    """A follower that came hours earlier does not make the first reports look late."""
+    """An external follower that joined hours earlier does not make the first reports look late."""
     play = Play(proxies=0)
     play.hear(gp.ProxyJoined(70_000, 5.0, True, "z", aside=True))
     play.run(60)
@@ -965,7 +970,7 @@
     assert play.brain.first_join_at == play.now and play.brain.effective_at["weights"] == play.now
 
 
-def test_parts_of_the_fleet_go_by_the_proxies_behind_the_channel():
+def test_the_own_part_depends_only_on_the_proxies_behind_the_channel():
     play = Play(tasks="abcdefgh", proxies=20, total=400, assigners=4, queue_limit=500.0)
     before = [t.id for t in play.brain.own_tasks]
     play.hear(*(gp.ProxyJoined(70_000 + n, 5.0, True, "z", aside=True) for n in range(300)))
