--- a/tests/helper.py
+++ b/tests/helper.py
@@ -1,4 +1,4 @@
-"""Feeds a Brain fixed events and keeps a short trace of what it orders; traces/ holds what is expected."""
+"""Test helpers: `Play` feeds a Brain fixed events and records its orders; traces/ has the expected traces."""
 
 import asyncio
 import dataclasses
@@ -40,14 +40,14 @@
 
 
 def matches(name, trace):
-    path, got = TRACES / f"{name}.txt", "\n".join(trace) + "\n"
+    path, actual = TRACES / f"{name}.txt", "\n".join(trace) + "\n"
     if os.environ.get("GARNET_TRACES") == "write":
-        path.write_text(got)
-    assert got == path.read_text()
+        path.write_text(actual)
+    assert actual == path.read_text()
 
 
 def shown(event):
-    """An event or order in a line: its name and its values."""
+    """Formats an event or order as one line: its class name and its values."""
     values = (getattr(event, f.name) for f in dataclasses.fields(event))
     return f"{type(event).__name__} " + " ".join(
         f"({', '.join(shown(v) for v in value)})" if isinstance(value, tuple) and value else str(value)
@@ -56,7 +56,11 @@
 
 
 class StandIn:
-    """A party on loopback that does as its script says: one step a message that it reads, then `always`."""
+    """A server on loopback that runs a step of its script for each request, then those that `always` returns.
+
+    A step is a list of bytes to write and delays in seconds, None for no response, "break" to abort the
+    connection, a function that returns one of these, or a coroutine function that handles the connection.
+    """
 
     def __init__(self, *script, always=None):
         self.script, self.always, self.said, self.writers = list(script), always, [], []
@@ -80,12 +84,12 @@
                 self.said.append(f"{head.splitlines()[0]} {unquote(body)}".strip())
                 step = self.script.pop(0) if self.script else self.always and self.always(self.said[-1])
                 if asyncio.iscoroutinefunction(step) or asyncio.iscoroutinefunction(type(step).__call__):
-                    await step(writer)  # a script of its own, with the connection in its hands
+                    await step(writer)  # it writes to the connection itself
                     continue
                 step = step() if callable(step) else step
                 if step == "break":
                     return writer.transport.abort()
-                for piece in step or ():  # None: silence; a number: so many seconds of it
+                for piece in step or ():  # a number is a delay in seconds
                     if isinstance(piece, bytes):
                         writer.write(piece)
                         await writer.drain()
@@ -99,25 +103,25 @@
 
 
 async def until(condition):
-    """Turns the loop until something holds; a test that never gets there ends by the runner's limit."""
+    """Runs the event loop until the condition holds; fails after 30 s."""
     for _ in range(3_000):
         if condition():
             return
         await asyncio.sleep(0.01)
-    raise AssertionError("it never came to that")
+    raise AssertionError("condition not met after 30 s")
 
 
 class Play:
-    def __init__(self, tasks="abcd", proxies=2, applies=True, total=1, **terms):
+    def __init__(self, tasks="abcd", proxies=2, acknowledges=True, total=1, **terms):
         self.terms = dataclasses.replace(TERMS, proxies=total, **terms)
-        self.brain, self.now, self.trace, self.coming = Brain(self.terms, 7), 0, [], []
-        self.sums = {t: (10, 0, 200) for t in tasks}  # tries, failures, ms: what each report says of a task
-        self.load, self.probes, self.report_at, self.applies = {}, {}, 10_000, applies
+        self.brain, self.now, self.trace, self.pending_events = Brain(self.terms, 7), 0, [], []
+        self.sums = {t: (10, 0, 200) for t in tasks}  # tries, failures and mean ms of each report
+        self.load, self.probes, self.next_report_at, self.acknowledges = {}, {}, 10_000, acknowledges
         self.hear(gp.ListHeard("stale", tuple(line(t) for t in tasks)))
         self.hear(*(gp.ProxyJoined(p, 20.0, True, "z") for p in range(proxies)))
 
     def hear(self, *events):
-        shown = []
+        entries = []
         self.last = orders = self.brain.handle(self.now, events)
         to_all = any(isinstance(o, gp.SetLine | gp.Admit) for o in orders)
         reached = self.brain.proxies if to_all else [o.proxy for o in orders if isinstance(o, gp.Bind)]
@@ -125,40 +129,40 @@
         for o in orders:
             match o:
                 case gp.SetLine():
-                    shown.append(f"{o.task}={o.weight:g}")
+                    entries.append(f"{o.task}={o.weight:g}")
                 case gp.Bind():
-                    shown.append(f"bind {o.proxy}")
+                    entries.append(f"bind {o.proxy}")
                 case gp.Withdraw():
-                    shown.append(f"{'withdraw' if o.out else 'let back'} {o.task}")
+                    entries.append(f"{'withdraw' if o.out else 'let back'} {o.task}")
                 case gp.Admit():
-                    shown.append(f"admit {o.routes} {o.level:g}, tries {o.tries}")
+                    entries.append(f"admit {o.routes} {o.level:g}, tries {o.tries}")
                 case gp.Watch():
-                    shown.append("watch")
+                    entries.append("watch")
                 case gp.Note():
-                    shown.append(f'"{o.text}"')
-                case gp.Seal() if self.applies:
+                    entries.append(f'"{o.text}"')
+                case gp.Seal() if self.acknowledges:
                     asked = self.brain.channel_proxies if o.all_proxies else reached
-                    self.coming += [(self.now + 3_000, gp.Applied(p, o.mark, 3_000)) for p in asked]
+                    self.pending_events += [(self.now + 3_000, gp.Applied(p, o.mark, 3_000)) for p in asked]
                 case gp.Probe():
                     outcome = self.probes.get(o.task, "ok")
-                    self.coming.append((self.now + 500, gp.ProbeAnswered(o.task, 500, outcome, {})))
-        if shown:
-            self.trace.append(f"{self.now / 10_000:5.1f}  " + ", ".join(shown))
+                    self.pending_events.append((self.now + 500, gp.ProbeAnswered(o.task, 500, outcome, {})))
+        if entries:
+            self.trace.append(f"{self.now / 10_000:5.1f}  " + ", ".join(entries))
 
     def run(self, seconds):
-        """Beats, fixed sums each report period, and the answers to seals and probes, for a while."""
+        """Advances time in steps of 0.1 s, with reports each period, acknowledgements and probe results."""
         for _ in range(round(seconds * 10)):
             self.now += 1_000
-            events = [e for at, e in self.coming if at <= self.now]
-            self.coming = [(at, e) for at, e in self.coming if at > self.now]
-            if self.now >= self.report_at:
-                self.report_at += 10_000
+            events = [e for at, e in self.pending_events if at <= self.now]
+            self.pending_events = [(at, e) for at, e in self.pending_events if at > self.now]
+            if self.now >= self.next_report_at:
+                self.next_report_at += 10_000
                 for task, (tries, failures, ms) in self.sums.items():
                     events.append(gp.TaskSums(task, "z", tries, failures, ms * 10.0, 10_000, self.load))
             self.hear(*events)
 
     def lose(self, perhaps):
-        """No answer confirms what the last batch ordered."""
+        """Tells the Brain that the orders of the last batch are lost, or `perhaps` carried out."""
         self.say(f"orders lost, {'possibly' if perhaps else 'not'} carried out")
         self.hear(gp.OrdersLost(tuple(self.last), perhaps))
         self.say(f"reckoned to wait: {self.brain.queue:.0f} lines")
--- a/tests/test_brain.py
+++ b/tests/test_brain.py
@@ -21,13 +21,13 @@
 
 
 def test_shares_are_not_adjusted_while_a_push_is_unacknowledged_or_reports_are_late():
-    play = Play(applies=False)
+    play = Play(acknowledges=False)
     play.sums["a"] = (10, 0, 400)
     play.say("no proxy acknowledges its table: no adjustment")
     play.run(8)
     play.hear(*(gp.Applied(p, play.brain.mark, 0) for p in play.brain.proxies))
     play.say("acknowledged, but the reports now arrive 6 s late")
-    play.report_at = 160_000
+    play.next_report_at = 160_000
     play.run(15)
     play.matches("adjustment_waits")
 
@@ -258,7 +258,7 @@
     play.hear(*(gp.ProxyJoined(p, 20.0, False, "z") for p in range(3)))
     play.say("proxy 1 joins again without having left; then one joins as an adjustment changes no weight")
     play.hear(gp.ProxyJoined(1, 20.0, False, "z"))
-    play.report_at = play.now + 10_000
+    play.next_report_at = play.now + 10_000
     play.run(2.1)
     play.now += 1_000
     play.hear(gp.ProxyJoined(3, 20.0, True, "z"))
@@ -322,7 +322,7 @@
 
 def test_withdrawals_keep_to_the_queue_limit_and_their_acknowledgements_prove_little():
     """Most assigners fail, and all their proxies join at once, with tables that list draining tasks."""
-    play = Play("abcdefghijklmnopqrst", 10, queue_limit=900.0, channel_lines=400.0, applies=False)
+    play = Play("abcdefghijklmnopqrst", 10, queue_limit=900.0, channel_lines=400.0, acknowledges=False)
     play.hear(*(gp.ProxyJoined(p, 5.0, False, "z") for p in range(10, 60)))
     play.say(f"60 proxies, reckoned to wait: {play.brain.queue:.0f} of 900 lines")
     for names in ("abcdef", "ghij", "klmn"):
@@ -353,7 +353,7 @@
 
 
 def test_acknowledgements_are_matched_however_many_batches_are_in_the_channel():
-    play = Play("abcd", 0, queue_limit=9_000.0, channel_lines=1_000.0, applies=False)
+    play = Play("abcd", 0, queue_limit=9_000.0, channel_lines=1_000.0, acknowledges=False)
     for p in range(100):
         play.hear(gp.ProxyJoined(p, 5.0, True, "z"))
     assert play.brain.mark == 100 and play.brain.queue == 100 * 15
@@ -362,7 +362,7 @@
 
 
 def test_lines_of_a_broken_stream_leave_the_queue_and_order_proves_nothing_for_a_while():
-    play = Play("abcd", 60, queue_limit=3_500.0, channel_lines=700.0, applies=False)
+    play = Play("abcd", 60, queue_limit=3_500.0, channel_lines=700.0, acknowledges=False)
     play.say(f"60 proxies are bound: {play.brain.queue:.0f} lines wait")
     play.hear(gp.ProxyJoined(60, 5.0, True, "z"))
     play.hear(gp.Applied(60, play.brain.mark, 0))
@@ -418,7 +418,7 @@
 
 
 def test_a_task_is_withdrawn_only_after_its_line_was_removed_from_bound_proxies():
-    play = Play("abcdef", 40, queue_limit=1_000.0, channel_lines=400.0, applies=False)
+    play = Play("abcdef", 40, queue_limit=1_000.0, channel_lines=400.0, acknowledges=False)
     play.hear(gp.ProxyJoined(40, 5.0, False, "z"))
     play.hear(changes(line("a", "draining")))
     play.run(0.4)
@@ -509,8 +509,8 @@
 
 
 def test_parts_are_also_used_where_all_tasks_fit_the_queue_but_take_the_channel_too_long():
-    """Three tables of a third of the tasks each were used instead: a release left one of them with two lines
-    (scenario join+vast)."""
+    """Three tables with a third of the tasks each were used instead: a release left one of them with two
+    lines (scenario join+vast)."""
     names = [f"t{n:02}" for n in range(36)]
     play = Play(names, 20, total=40, queue_limit=1_000.0, channel_lines=200.0, assigners=2)
     play.run(6)
@@ -521,7 +521,7 @@
     """Pushes of one line each filled the channel with heads, and none took effect until the last had left."""
     play = Play("abcdefghij", 31, queue_limit=4_000.0, channel_lines=165.0)
     play.run(5)
-    play.coming, play.applies = [], False
+    play.pending_events, play.acknowledges = [], False
     for bad in "ab":
         play.hear(*(gp.ProbeAnswered(bad, 6_000, "timeout", {}) for _ in range(5)))
         play.say(f"{bad} fails its probes; {play.brain.queue:.0f} lines wait")
@@ -662,7 +662,7 @@
 
 
 def test_unconfirmed_orders_are_sent_again():
-    play = Play(applies=False)
+    play = Play(acknowledges=False)
     play.lose(perhaps=False)
     play.lose(perhaps=False)
     play.lose(perhaps=True)
@@ -677,7 +677,7 @@
 
 
 def test_a_withdrawn_task_is_let_back_though_its_withdrawal_is_in_doubt():
-    play = Play(proxies=0, queue_limit=260.0, channel_lines=260.0, applies=False, grace=5_000)
+    play = Play(proxies=0, queue_limit=260.0, channel_lines=260.0, acknowledges=False, grace=5_000)
     play.hear(*(gp.ProxyJoined(p, 10.0 + p, True, "z") for p in range(12)))
     play.hear(changes(line("a", "draining")))
     play.run(0.1)
@@ -693,7 +693,7 @@
 
 
 def test_lost_levels_are_sent_again():
-    play = Play(level_kind="fraction", applies=False)
+    play = Play(level_kind="fraction", acknowledges=False)
     play.hear(gp.OrdersLost((gp.Admit(1, (0, 1, 2), 1.0, "on proof"),), True))
     play.run(1)
     play.matches("lost_levels")
@@ -707,7 +707,7 @@
     play.matches("orders_in_doubt")
 
 
-def test_after_a_gap_in_the_event_stream_proxies_are_bound_once_the_new_one_names_them():
+def test_after_a_gap_in_the_event_stream_proxies_are_bound_only_once_the_new_one_names_them():
     """In scenario split+mass 5 with 40 nodes, 69 proxies were bound at once and taken for unbound once named.
     They got each line of the new table without pacing and uncounted in the queue, then all of it again."""
     play = Play(proxies=20)
@@ -793,7 +793,7 @@
     """Covers a stalled channel, and a gap in the event stream that may have lost every order."""
     play = Play(tasks="abcdefgh", proxies=20, queue_limit=600.0, channel_lines=400.0)
     play.run(3)
-    play.applies = False
+    play.acknowledges = False
     play.say("no acknowledgements arrive from here on")
     for name in "hgf":
         play.hear(changes(line(name, "draining")))
@@ -801,7 +801,7 @@
     play.say(f"reckoned to wait: {play.brain.queue:.0f} lines")
     play.run(5)
     play.say(f"and 5 s later, with nothing heard: {play.brain.queue:.0f}")
-    play.applies = True
+    play.acknowledges = True
     play.hear(gp.OrdersInDoubt(), *(gp.ProxyJoined(p, 5.0, False, "z") for p in range(20)))
     count = sum(p.bound for p in play.brain.proxies.values())
     number = play.brain.tables[0].number
@@ -845,7 +845,7 @@
 
 
 def test_calls_of_fresh_proxies_that_wait_for_a_bind_are_not_taken_for_shares():
-    play = Play(proxies=0, queue_limit=200.0, applies=False)
+    play = Play(proxies=0, queue_limit=200.0, acknowledges=False)
     play.run(0.5)
     play.hear(*(gp.ProxyJoined(p, 20.0, True, "z") for p in range(20)))
     play.sums["a"] = (40, 0, 200)
@@ -942,7 +942,7 @@
 
 
 def test_an_external_followers_acknowledgement_does_not_change_the_queue():
-    play = play_with_follower(applies=False)
+    play = play_with_follower(acknowledges=False)
     play.run(1)
     waiting = play.brain.queue
     play.hear(gp.Applied(70_000, play.brain.mark, 5))
--- a/tests/test_task_registry.py
+++ b/tests/test_task_registry.py
@@ -1,4 +1,4 @@
-"""The registry's indexes, and that a turn's work follows what changed instead of the size of the fleet."""
+"""Tests the registry's indexes, and that a batch's cost depends on its changes, not on the fleet's size."""
 
 import collections
 import dataclasses
@@ -16,14 +16,14 @@
 from garnetpaddle.task_registry import TaskRegistry
 
 PROXIES = 12  # of this assigner
-PROBED = 10  # tasks in its part: one in ten of the assigners
+PROBED = 10  # tasks in its part: there is one assigner for every ten tasks
 
 
 def ids(tasks):
     return "".join(task.id for task in tasks)
 
 
-def registered(names):
+def make_registry(names):
     registry = TaskRegistry()
     for name in names:
         registry.register(Task(line(name), 1.0, 0))
@@ -32,7 +32,7 @@
 
 
 def test_ready_tasks_keep_the_order_in_which_they_were_first_named():
-    registry = registered("bca")
+    registry = make_registry("bca")
     assert ids(registry.ready()) == "bca"
     registry.update_line(1, line("c", "draining"))
     assert ids(registry.ready()) == "ba" and list(registry.leaving) == ["c"]
@@ -41,8 +41,8 @@
     assert ids(registry.ready()) == "bca" and not registry.leaving and registry.changed_at["c"] == 2
 
 
-def test_the_ready_list_stands_as_one_object_until_the_task_list_changes():
-    registry = registered("ab")
+def test_ready_returns_the_same_list_object_until_the_task_list_changes():
+    registry = make_registry("ab")
     first = registry.ready()
     registry.observe(registry.tasks["b"])
     assert registry.ready() is first
@@ -50,8 +50,8 @@
     assert registry.ready() is not first
 
 
-def test_observed_tasks_follow_what_is_said_of_them_and_their_lines():
-    registry = registered("abc")
+def test_observed_tasks_follow_new_information_and_list_changes():
+    registry = make_registry("abc")
     assert registry.observed() == []
     for name in "ca":
         registry.observe(registry.tasks[name])
@@ -66,15 +66,15 @@
     assert list(registry.leaving) == ["b"]
 
 
-def test_a_new_life_is_unobserved_until_it_is_heard_of():
-    registry = registered("ab")
+def test_a_restarted_task_is_unobserved_until_there_is_information_on_it():
+    registry = make_registry("ab")
     registry.observe(registry.tasks["a"])
     registry.register(Task(line("a", started=5), 1.0, 0))
     registry.update_line(1, line("a", started=5))
     assert registry.observed() == []
 
 
-def test_shares_are_told_by_kind_for_weighed_tasks_only():
+def test_shares_are_grouped_by_kind_for_evaluated_tasks_only():
     registry = TaskRegistry()
     for name, kind, share, headroom in (("a", "m", 1.5, 1.0), ("b", "s", 0.5, 1.0), ("c", "s", 9.0, 0.0)):
         registry.register(Task(line(name, kind=kind), share, 0))
@@ -83,28 +83,28 @@
     assert registry.shares() == {"m": [1.5], "s": [0.5]}
 
 
-def steps_of(work):
-    """Lines of the program that a piece of work runs, each iteration counted: the same on every machine."""
-    counted = collections.Counter()
+def steps_of(function):
+    """Counts the lines of the program that a function executes, each iteration: the same on every machine."""
+    counter = collections.Counter()
 
-    def local(frame, event, _):
-        counted["lines"] += event == "line"
-        return local
+    def trace_line(frame, event, _):
+        counter["lines"] += event == "line"
+        return trace_line
 
-    def called(frame, *_):
-        return local if "garnetpaddle" in frame.f_code.co_filename else None
+    def trace_call(frame, *_):
+        return trace_line if "garnetpaddle" in frame.f_code.co_filename else None
 
-    before = sys.gettrace()
-    sys.settrace(called)
+    previous = sys.gettrace()
+    sys.settrace(trace_call)
     try:
-        work()
+        function()
     finally:
-        sys.settrace(before)
-    return counted["lines"]
+        sys.settrace(previous)
+    return counter["lines"]
 
 
 class Assigner:
-    """A Brain with a part of a fleet, past its first seconds, in virtual time."""
+    """A Brain that orders a part of a fleet, in simulated time; it starts after the first 9 s."""
 
     def __init__(self, tasks):
         self.names = [f"t{number:05}" for number in range(tasks)]
@@ -112,22 +112,24 @@
         terms = dataclasses.replace(
             TERMS, proxies=PROXIES * assigners, assigners=assigners, channel_lines=20.0, strikes=8
         )
-        self.brain, self.now, self.coming = Brain(terms, 7), 0, []
-        self.turn(gp.ListHeard("full", tuple(line(name) for name in self.names)))
-        self.turn(*(gp.ProxyJoined(proxy, 5.0, True, "z") for proxy in range(PROXIES)))
+        self.brain, self.now, self.pending_events = Brain(terms, 7), 0, []
+        self.handle_batch(gp.ListHeard("full", tuple(line(name) for name in self.names)))
+        self.handle_batch(*(gp.ProxyJoined(proxy, 5.0, True, "z") for proxy in range(PROXIES)))
         for _ in range(90):
             self.beat()
 
-    def turn(self, *events):
+    def handle_batch(self, *events):
         orders = self.brain.handle(self.now, events)
-        self.coming += [gp.ProbeAnswered(o.task, 500, "ok", {}) for o in orders if isinstance(o, gp.Probe)]
+        self.pending_events += [
+            gp.ProbeAnswered(o.task, 500, "ok", {}) for o in orders if isinstance(o, gp.Probe)
+        ]
         marks = [o.mark for o in orders if isinstance(o, gp.Seal)]
-        self.coming += [gp.Applied(proxy, mark, 500) for mark in marks for proxy in range(PROXIES)]
+        self.pending_events += [gp.Applied(proxy, mark, 500) for mark in marks for proxy in range(PROXIES)]
 
     def beat(self, *events):
         self.now += 1_000
-        coming, self.coming = self.coming, []
-        self.turn(*coming, *events)
+        pending, self.pending_events = self.pending_events, []
+        self.handle_batch(*pending, *events)
 
 
 CHANGES = {
@@ -142,8 +144,8 @@
 
 
 @pytest.mark.parametrize("change", CHANGES)
-def test_a_turn_costs_what_changed_however_many_tasks_are_listed(change):
-    """Ten tasks of the own part in both; before the registry, 40 times the tasks ran 30 times the lines."""
+def test_the_cost_of_a_batch_depends_on_its_changes_and_not_on_the_fleet_size(change):
+    """Both own parts have ten tasks. Without the indexes, 40 times the tasks ran 30 times the lines."""
     work = {}
     for tasks in (100, 4_000):
         assigner = Assigner(tasks)
@@ -164,8 +166,8 @@
     assert sorted(probed) == sorted(task.id for task in assigner.brain.own_tasks)
 
 
-def test_hearing_a_whole_list_costs_by_its_length():
-    """Each line used to be looked up in a list and to walk all tasks: 13,000 took over 20 s of a core."""
+def test_the_cost_of_a_full_list_is_proportional_to_its_length():
+    """Searching a list and walking all tasks for each line took over 20 s of a core for 13,000 lines."""
     work = {}
     for tasks in (500, 4_000):
         listed = gp.ListHeard("full", tuple(line(f"t{number:05}") for number in range(tasks)))
@@ -186,17 +188,17 @@
 REPORTS = st.builds(
     lambda name, failures: gp.TaskSums(name, "z", 9, failures, 200.0, 10_000, {}), NAMES, st.integers(0, 9)
 )
-TURNS = st.lists(st.tuples(st.lists(LISTS | PROBES | REPORTS, max_size=3), st.integers(1, 400_000)))
+BATCHES = st.lists(st.tuples(st.lists(LISTS | PROBES | REPORTS, max_size=3), st.integers(1, 400_000)))
 
 
 @settings(derandomize=True, deadline=None, max_examples=150)
-@given(TURNS, st.booleans())
-def test_the_indexes_agree_with_the_lists_whatever_they_say(turns, gone_binds):
-    """Lists that name a task twice, drop it, bring it back, go back in time or say nothing at all."""
+@given(BATCHES, st.booleans())
+def test_the_indexes_agree_with_any_sequence_of_task_lists(batches, gone_binds):
+    """Lists may name a task twice, drop it, list it again, be older than the last one or be empty."""
     brain, now = Brain(dataclasses.replace(TERMS, gone_binds=gone_binds), 7), 0
     brain.handle(0, [gp.ProxyJoined(0, 5.0, True, "z")])
-    for events, passed in turns:
-        now += passed
+    for events, elapsed in batches:
+        now += elapsed
         brain.handle(now, events)
         registry, state = brain.registry, {name: line.state for name, line in brain.lines.items()}
         ready = [task for name, task in brain.tasks.items() if state[name] == "ready"]
@@ -204,7 +206,7 @@
         assert registry.observed() == [task for task in ready if task.observed]
         assert all(task.observed for task in ready if task.ejected or task.fault_evidence or task.unlisted)
         assert (
-            {name for name, said in state.items() if said != "ready"} <= set(registry.leaving) <= set(state)
+            {name for name, value in state.items() if value != "ready"} <= set(registry.leaving) <= set(state)
         )
         assert all(brain.tasks[name].observed for name in registry.leaving if state[name] == "ready")
         assert set(brain.tasks) <= set(brain.lines) == set(brain.changed_at)
