--- a/benchmarks/advice.py
+++ b/benchmarks/advice.py
@@ -56,8 +56,8 @@
 def weight_orders(members, order_number):
     """Orders that change every weight; the weight of the first task encodes the order number."""
     tasks = list(member_addresses(members))
-    return [gp.SetLine(1, tasks[0], (100 + order_number) / 1_000)] + [
-        gp.SetLine(1, task, 0.8 + (k * 7 + order_number * 3) % 40 / 100) for k, task in enumerate(tasks[1:])
+    return [gp.SetWeight(1, tasks[0], (100 + order_number) / 1_000)] + [
+        gp.SetWeight(1, task, 0.8 + (k * 7 + order_number * 3) % 40 / 100) for k, task in enumerate(tasks[1:])
     ]
 
 
@@ -99,7 +99,7 @@
     task_lines = tuple(gp.TaskLine(task, "z", 0, "ready", 1.0, 0) for task in member_addresses(members))
     publisher.publish(
         snapshot_builder.update(
-            now_ticks(), [gp.ListHeard("full", task_lines)], [], member_addresses(members)
+            now_ticks(), [gp.TaskListReceived("full", task_lines)], [], member_addresses(members)
         )
     )
     address = await manager.open(
@@ -117,7 +117,7 @@
             pipe.send(sum(isinstance(event, gp.ProxyJoined) for event in manager_events))
         elif command == "bind":
             events, manager_events[:] = list(manager_events), []
-            binds = [gp.Bind(FIRST_FOLLOWER_NUMBER + k, 1) for k in range(clients)]
+            binds = [gp.BindProxy(FIRST_FOLLOWER_NUMBER + k, 1) for k in range(clients)]
             publisher.publish(
                 snapshot_builder.update(now_ticks(), events, [*weight_orders(members, 0), *binds])
             )
@@ -389,32 +389,32 @@
 
 
 def measure_brain_step(clients, members, rounds=40):
-    """Median times of the Brain's step after a batch of sums, without and with followers, run alternately."""
-    terms = gp.Terms(
+    """Median times of the Brain's step after a batch of reports, alternately without and with followers."""
+    parameters = gp.Parameters(
         routes=(gp.Route(1, 12_000),),
         list_mode="push",
-        must_ask_in=100_000,
+        resubscribe_deadline=100_000,
         probes_allowed=False,
         warm_after=150_000,
         start_share=0.2,
         fall_multiple=3.0,
-        gone_binds=True,
+        dropped_counts_as_gone=True,
         report_period=10_000,
         channel_lines=1e6,
         queue_limit=1e7,
-        head_lines=6.0,
+        message_overhead_lines=6.0,
         message_cap=0,
-        message_span=100_000,
+        message_cap_period=100_000,
         level_kind="none",
-        strikes=3,
+        failures_before_avoidance=3,
     )
     brains, times = [], ([], [])
     for followers in (0, clients):
-        brain = Brain(terms, 7)
+        brain = Brain(parameters, 7)
         brain.handle(
             0,
             [
-                gp.ListHeard(
+                gp.TaskListReceived(
                     "full",
                     tuple(gp.TaskLine(task, "z", 0, "ready", 1.0, 0) for task in member_addresses(members)),
                 )
@@ -428,11 +428,11 @@
     for round_number in range(1, rounds + 1):
         for brain, durations in zip(brains, times, strict=True):
             now = round_number * 20_000
-            brain.handle(now - 9_000, [gp.Applied(proxy, brain.mark, 100) for proxy in range(150)])
+            brain.handle(now - 9_000, [gp.OrdersApplied(proxy, brain.mark, 100) for proxy in range(150)])
             brain.handle(
                 now,
                 [
-                    gp.TaskSums(task, "z", 20, 0, 1_000.0 + (k * round_number) % 900, 10_000, {})
+                    gp.TaskReport(task, "z", 20, 0, 1_000.0 + (k * round_number) % 900, 10_000, {})
                     for k, task in enumerate(member_addresses(members))
                 ],
             )
--- a/benchmarks/scaling/brain_turn.py
+++ b/benchmarks/scaling/brain_turn.py
@@ -4,8 +4,8 @@
     python -m benchmarks.scaling.brain_turn --tasks 3250 --profile 15
     python -m benchmarks.scaling.brain_turn --tasks 3250 --start --profile 15  # the initial lists instead
 
-Runs on a virtual clock with the events that the fake peers cause: probe answers, sums of the tasks in the
-table, applied marks and timer beats. `--start` profiles the stale list and discovery's first full list,
+Runs on a virtual clock with the events that the fake peers cause: probe answers, reports of the tasks in the
+table, acknowledgements and timer beats. `--start` profiles the stale list and discovery's first full list,
 before any proxy joins.
 """
 
@@ -51,20 +51,21 @@
         for order in self.brain.handle(self.now, events):
             at = self.now + ANSWER_DELAY_MS * 10
             match order:
-                case gp.Probe(task=task):
-                    self.pending_events.append((at, gp.ProbeAnswered(task, 50, "ok", {"in_hand": 2.0})))
-                case gp.Seal(mark=mark):
+                case gp.SendProbe(task=task):
+                    self.pending_events.append((at, gp.ProbeFinished(task, 50, "ok", {"in_hand": 2.0})))
+                case gp.RequestAcknowledgement(mark=mark):
                     self.pending_events += [
-                        (at, gp.Applied(proxy, mark, 500)) for proxy in workload.proxy_ids(self.params, 0)
+                        (at, gp.OrdersApplied(proxy, mark, 500))
+                        for proxy in workload.proxy_ids(self.params, 0)
                     ]
-                case gp.SetLine(task=task, weight=weight):
+                case gp.SetWeight(task=task, weight=weight):
                     self.table.pop(task, None)
                     self.table |= {task: weight} if weight else {}
 
     def start(self):
         """Handles the stale list, then discovery's full list."""
-        self.handle([gp.ListHeard("stale", task_lines(self.params))])
-        self.handle([gp.ListHeard("full", task_lines(self.params))])
+        self.handle([gp.TaskListReceived("stale", task_lines(self.params))])
+        self.handle([gp.TaskListReceived("full", task_lines(self.params))])
 
     def join(self):
         """Joins all proxies."""
@@ -76,26 +77,26 @@
             ]
         )
 
-    def task_sums(self):
+    def task_reports(self):
         """The task reports of one second."""
         names = list(self.table) or [workload.task_name(0)]
         chosen = self.random.choices(names, k=round(self.params.requests))
         return [
-            gp.TaskSums(
+            gp.TaskReport(
                 name, workload.zone_name(k % self.params.zones), 1, 0, 300.0, SECOND_TICKS, {"busy": 0.3}
             )
             for k, name in enumerate(chosen)
         ]
 
     def run(self, seconds):
-        """Runs a turn per beat with the events due, and another one per second with the task sums."""
+        """Runs a turn per beat with the events due, and another one per second with the task reports."""
         for beat in range(round(seconds * SECOND_TICKS / BEAT_TICKS)):
             self.now += BEAT_TICKS
             due = [event for at, event in self.pending_events if at <= self.now]
             self.pending_events = [(at, event) for at, event in self.pending_events if at > self.now]
-            self.handle([*due, gp.TimerDue("beat")])
+            self.handle([*due, gp.TimerExpired("beat")])
             if beat % (SECOND_TICKS // BEAT_TICKS) == 0:
-                self.handle(self.task_sums())
+                self.handle(self.task_reports())
 
 
 @click.command()
--- a/benchmarks/scaling/counted_assigner.py
+++ b/benchmarks/scaling/counted_assigner.py
@@ -98,7 +98,7 @@
 
     startup_signals = StartupSignals()
     startup_signals.install()
-    Brain.handle = Counter(sys.argv[1]).wrap(Brain.handle, interface.TimerDue)
+    Brain.handle = Counter(sys.argv[1]).wrap(Brain.handle, interface.TimerExpired)
     return serve(False, os.environ.get("GARNET_OPERATOR"), startup_signals)
 
 
--- a/benchmarks/turn.py
+++ b/benchmarks/turn.py
@@ -5,8 +5,9 @@
     python -m benchmarks.turn --profile                    # also profile the last size
 
 Simulates one assigner on a virtual clock without I/O: a fifth of the proxies joins at the start, the others
-10 s later (four of five assigners lost), then a third of the tasks is replaced. Task sums, probe answers and
-applied marks arrive throughout. The time per turn is given as a ratio to the first size of the same run.
+10 s later (four of five assigners lost), then a third of the tasks is replaced. Task reports, probe results
+and acknowledgements arrive throughout. The time per turn is given as a ratio to the first size of the same
+run.
 """
 
 import cProfile
@@ -21,33 +22,33 @@
 
 # A tick is 0.1 ms.
 TURN_TICKS, DURATION_S, REPORT_PERIOD_TICKS = 1_000, 30, 10_000
-REPORT_LINES_PER_S = 150  # lines of task sums per second
+REPORT_LINES_PER_S = 150  # lines of task reports per second
 
 
-def terms(proxies):
-    return gp.Terms(
+def parameters(proxies):
+    return gp.Parameters(
         routes=(gp.Route(1, 12_000), gp.Route(5, 20_000)),
         list_mode="push",
-        must_ask_in=100_000,
+        resubscribe_deadline=100_000,
         probes_allowed=True,
         warm_after=150_000,
         start_share=0.23,
         fall_multiple=3.0,
-        gone_binds=True,
+        dropped_counts_as_gone=True,
         report_period=REPORT_PERIOD_TICKS,
         channel_lines=2_000.0,
         queue_limit=26.0 * proxies,
-        head_lines=6.0,
+        message_overhead_lines=6.0,
         message_cap=0,
-        message_span=100_000,
+        message_cap_period=100_000,
         level_kind="none",
         proxies=proxies,
         assigners=5,
         rank=0,
         zones=3,
-        grace=200_000,
-        tries="on proof",
-        strikes=8,
+        drain_grace_period=200_000,
+        default_retry_mode="on proof",
+        failures_before_avoidance=8,
     )
 
 
@@ -58,7 +59,7 @@
 
 class SimulatedDay:
     def __init__(self, proxies, tasks):
-        self.brain, self.now, self.pending_events = Brain(terms(proxies), 7), 10**9, []
+        self.brain, self.now, self.pending_events = Brain(parameters(proxies), 7), 10**9, []
         self.task_names, self.proxies, self.report_index = [f"t{k}" for k in range(tasks)], proxies, 0
         self.turns, self.events, self.handle_seconds = 0, 0, 0.0
 
@@ -69,9 +70,9 @@
         self.turns, self.events = self.turns + 1, self.events + len(events)
         for order in orders:
             match order:
-                case gp.Probe():
-                    self.pending_events.append((self.now + 800, gp.ProbeAnswered(order.task, 800, "ok", {})))
-                case gp.Seal():
+                case gp.SendProbe():
+                    self.pending_events.append((self.now + 800, gp.ProbeFinished(order.task, 800, "ok", {})))
+                case gp.RequestAcknowledgement():
                     self.pending_events.append((self.now + 3_000, order.mark))
 
     def join(self, proxy_ids):
@@ -88,24 +89,24 @@
             waiting_proxies = [
                 proxy_id for proxy_id, proxy in self.brain.channel_proxies.items() if proxy.unacknowledged
             ]
-            events += [gp.Applied(proxy_id, marks[-1], 3_000) for proxy_id in waiting_proxies]
+            events += [gp.OrdersApplied(proxy_id, marks[-1], 3_000) for proxy_id in waiting_proxies]
         for _ in range(REPORT_LINES_PER_S * TURN_TICKS // 10_000):
             self.report_index = (self.report_index + 1) % (3 * len(self.task_names))
             task = self.task_names[self.report_index // 3]
             span = max(3 * len(self.task_names) * 10_000 // REPORT_LINES_PER_S, REPORT_PERIOD_TICKS)
             latency = 2_000.0 + 100 * (self.report_index % 7)
-            events.append(gp.TaskSums(task, "abc"[self.report_index % 3], 8, 0, latency, span, {}))
+            events.append(gp.TaskReport(task, "abc"[self.report_index % 3], 8, 0, latency, span, {}))
         if turn == 150:
             removed, added = self.task_names[::3], [f"t{9_000 + k}" for k in range(len(self.task_names[::3]))]
             self.task_names = [name for name in self.task_names if name not in removed] + added
             lines = [task_line(name, "draining") for name in removed] + [
                 task_line(name, "ready", self.now) for name in added
             ]
-            events.append(gp.ListHeard("changes", tuple(lines)))
+            events.append(gp.TaskListReceived("changes", tuple(lines)))
         self.handle_events(events)
 
     def run(self):
-        self.handle_events([gp.ListHeard("stale", tuple(task_line(k) for k in self.task_names))])
+        self.handle_events([gp.TaskListReceived("stale", tuple(task_line(k) for k in self.task_names))])
         self.join(range(0, self.proxies, 5))
         for turn in range(DURATION_S * 10_000 // TURN_TICKS):
             if turn == 100:
--- a/garnetpaddle/advice/leases.py
+++ b/garnetpaddle/advice/leases.py
@@ -76,9 +76,15 @@
         lease.holder, lease.renewed_at = connection, now
         if not lease.joined:
             lease.joined = True
-            fresh = now - self.started_at >= RESTART_PERIOD
+            has_only_default_table = now - self.started_at >= RESTART_PERIOD
             events.append(
-                gp.ProxyJoined(lease.proxy_number, lease.calls_per_second, fresh, lease.zone, aside=True)
+                gp.ProxyJoined(
+                    lease.proxy_number,
+                    lease.calls_per_second,
+                    has_only_default_table,
+                    lease.zone,
+                    external=True,
+                )
             )
         return Acquisition(previous, events)
 
--- a/garnetpaddle/advice/session.py
+++ b/garnetpaddle/advice/session.py
@@ -263,7 +263,7 @@
         if mark is not None and mark != self.published_mark:
             self.published_mark = mark
             number = self.registry.proxy_number(self.follower.name)
-            actions.append(PublishEvent(gp.Applied(number, mark, max(0, now - self.delivery.sent_at))))
+            actions.append(PublishEvent(gp.OrdersApplied(number, mark, max(0, now - self.delivery.sent_at))))
 
     def push(self, now, table, versions, actions):
         """Sends an update if something changed and the client may be written to."""
--- a/garnetpaddle/book/snapshot_builder.py
+++ b/garnetpaddle/book/snapshot_builder.py
@@ -36,16 +36,16 @@
         """Records the order of a weight."""
         self.weights, self.in_doubt = (*self.weights[1 - MAX_PAST_WEIGHTS :], weight), False
 
-    def record_loss(self, weight, perhaps):
+    def record_loss(self, weight, possibly_executed):
         """Takes back an order of this weight that no answer has confirmed: the previous weight is in effect
-        again, but a removal stays. perhaps: the order may have been executed."""
+        again, but a removal stays. possibly_executed: the order may have been executed."""
         if weight <= 0 or weight not in self.weights:
-            self.in_doubt = self.in_doubt or perhaps and weight <= 0 and self.weight() <= 0
+            self.in_doubt = self.in_doubt or possibly_executed and weight <= 0 and self.weight() <= 0
             return
         position = len(self.weights) - 1 - self.weights[::-1].index(weight)
         newest = position == len(self.weights) - 1
         self.weights = self.weights[:position] + self.weights[position + 1 :]
-        self.in_doubt = self.in_doubt or perhaps and newest
+        self.in_doubt = self.in_doubt or possibly_executed and newest
 
 
 class TableBuilder:
@@ -75,10 +75,10 @@
 
 
 class SnapshotBuilder:
-    """gone_binds: whether a ready task that the list drops counts as gone (interface.Terms)."""
+    """dropped_counts_as_gone: as in interface.Parameters."""
 
-    def __init__(self, gone_binds=True):
-        self.gone_binds, self.snapshot = gone_binds, EMPTY
+    def __init__(self, dropped_counts_as_gone=True):
+        self.dropped_counts_as_gone, self.snapshot = dropped_counts_as_gone, EMPTY
         self.tables, self.bound, self.withdrawn, self.tasks, self.addresses = {}, {}, {}, {}, {}
         self.mark, self.newest_table, self.weight_changes = 0, None, 0
         self.changed_parts = set()  # of the snapshot, by this batch; never iterated, as its order is random
@@ -144,14 +144,14 @@
     def apply_event(self, now, event):
         """Applies the changes by an event."""
         match event:
-            case gp.ListHeard():
+            case gp.TaskListReceived():
                 self.apply_list(now, event)
             case gp.ProxyJoined() | gp.ProxyLeft():
                 self.unbind(event.proxy)
             case gp.OrdersLost():
                 for order in event.orders:
-                    self.record_lost_order(order, event.perhaps)
-            case gp.OrdersInDoubt():
+                    self.record_lost_order(order, event.possibly_executed)
+            case gp.ChannelStateUnknown():
                 self.mark_all_in_doubt()
 
     def mark_all_in_doubt(self):
@@ -166,10 +166,10 @@
 
     def apply_list(self, now, event):
         """Applies a full task list, or changes of it."""
-        if event.form == "lost":
+        if event.update_type == "lost":
             return
         named = {line.task: True for line in event.lines}
-        dropped = [k for k in self.tasks if event.form != "changes" and k not in named]
+        dropped = [k for k in self.tasks if event.update_type != "changes" and k not in named]
         for k in dropped:
             self.apply_state(now, k, "gone", None)
         for line in event.lines:
@@ -177,10 +177,12 @@
 
     def apply_state(self, now, task, state, line):
         """Applies a task's state by the Brain's rules: a drain lasts until a new start, and a ready task that
-        the list drops stays ready unless gone_binds."""
+        the list drops stays ready unless dropped_counts_as_gone."""
         known = self.tasks.get(task)
         if state == "gone" and (
-            known is None or known.state == "draining" or (known.state == "ready" and not self.gone_binds)
+            known is None
+            or known.state == "draining"
+            or (known.state == "ready" and not self.dropped_counts_as_gone)
         ):
             return
         started = line.started_at if line else known.started_at
@@ -215,19 +217,19 @@
     def apply_order(self, order):
         """Applies the changes by an order."""
         match order:
-            case gp.SetLine(table=number, task=task, weight=weight):
+            case gp.SetWeight(table=number, task=task, weight=weight):
                 self.set_line(number, task, weight)
-            case gp.Bind(proxy=proxy, table=number):
+            case gp.BindProxy(proxy=proxy, table=number):
                 self.bound[proxy] = number
                 self.changed_parts.add("bound")
-            case gp.Withdraw(task=task, out=out):
+            case gp.WithdrawTask(task=task, withdrawn=withdrawn):
                 self.withdrawn.pop(task, None)
-                self.withdrawn |= {task: True} if out else {}
+                self.withdrawn |= {task: True} if withdrawn else {}
                 self.changed_parts.add("withdrawn")
-            case gp.Admit(table=number, routes=routes, level=part, tries=tries):
-                self.table(number).set_levels(routes, Level(part, tries))
+            case gp.SetAdmission(table=number, routes=routes, level=part, retry_mode=retry_mode):
+                self.table(number).set_levels(routes, Level(part, retry_mode))
                 self.changed_parts.add("tables")
-            case gp.Seal(mark=mark):
+            case gp.RequestAcknowledgement(mark=mark):
                 self.mark = mark
                 self.changed_parts.add("mark")
 
@@ -239,17 +241,17 @@
         lines.setdefault(task, LineHistory()).record_order(weight)
         self.changed_parts.add("tables")
 
-    def record_lost_order(self, order, perhaps):
-        """Handles an order that no answer has confirmed. perhaps: it may have been executed."""
+    def record_lost_order(self, order, possibly_executed):
+        """Handles an order that no answer has confirmed. possibly_executed: it may have been executed."""
         match order:
-            case gp.SetLine(table=number, task=task, weight=weight) if number in self.tables:
+            case gp.SetWeight(table=number, task=task, weight=weight) if number in self.tables:
                 lines = self.tables[number].lines
                 if task in lines:
-                    lines[task].record_loss(weight, perhaps)
+                    lines[task].record_loss(weight, possibly_executed)
                     self.changed_parts.add("tables")
-            case gp.Bind(proxy=proxy):
+            case gp.BindProxy(proxy=proxy):
                 self.unbind(proxy)
-            case gp.Admit(table=number, routes=routes) if number in self.tables:
+            case gp.SetAdmission(table=number, routes=routes) if number in self.tables:
                 self.tables[number].record_lost_levels(routes)
                 self.changed_parts.add("tables")
 
--- a/garnetpaddle/boot/settings.py
+++ b/garnetpaddle/boot/settings.py
@@ -74,34 +74,34 @@
 
 
 def terms(settings):
-    """The Brain's parameters (interface.Terms); raises UnknownValue for an unsupported setting."""
+    """The Brain's parameters (interface.Parameters); raises UnknownValue for an unsupported setting."""
     channel, contract = settings.specifics, settings.contract
     if channel.ranges:
         # Ranges (slices) are not supported: no deployment has them yet.
         raise UnknownValue("specifics.ranges", channel.ranges)
-    return gp.Terms(
+    return gp.Parameters(
         routes=tuple(gp.Route(c.gain, tenths(c.promise)) for c in settings.categories),
         list_mode=settings.discovery,
-        must_ask_in=tenths(contract.must_ask_in),
+        resubscribe_deadline=tenths(contract.must_ask_in),
         probes_allowed=settings.ceilings.probes,
         warm_after=tenths(contract.cold),
         start_share=contract.start_capacity,
         fall_multiple=contract.fall_multiple,
-        gone_binds=not contract.dropped_stay_open,
+        dropped_counts_as_gone=not contract.dropped_stay_open,
         report_period=tenths(channel.report_every),
         channel_lines=channel.egress_per_s,
         queue_limit=channel.queue_cap,
-        head_lines=channel.head,
+        message_overhead_lines=channel.head,
         message_cap=channel.pushes_allowed,
-        message_span=tenths(channel.counted_over),
+        message_cap_period=tenths(channel.counted_over),
         level_kind=channel.level_kind,
-        strikes=channel.strikes,
-        grace=tenths(contract.stop_sending_within),
-        tries={0: "none", 1: "on proof", 2: "once"}.get(channel.base_mode, ""),
+        failures_before_avoidance=channel.strikes,
+        drain_grace_period=tenths(contract.stop_sending_within),
+        default_retry_mode={0: "none", 1: "on proof", 2: "once"}.get(channel.base_mode, ""),
         proxies=max(channel.agents, 1),
         assigners=max(settings.balancers, 1),
         rank=settings.rank,
         zone=settings.my_zone,
         zones=max(len(settings.azs), 1),
-        homed=channel.homed_by_zone,
+        join_own_zone=channel.homed_by_zone,
     )
--- a/garnetpaddle/brain.py
+++ b/garnetpaddle/brain.py
@@ -1,10 +1,12 @@
 """The decisions of one assigner: all of them, and nothing else. No clock, no I/O; docs/design.md says why.
 
-`orders = Brain(terms, seed).handle(now, events)`, with types of garnetpaddle/interface, now in tenths of a ms
+`orders = Brain(parameters, seed).handle(now, events)`, with types of garnetpaddle/interface and now in tenths
+of a ms
 
 A table holds a line, a task with its weight, for each task that the proxies bound to it may call. Orders
-reach the proxies as messages through a channel of limited lines a second; a message costs its own lines and a
-head. Each batch of messages has a mark, and a proxy acknowledges the mark up to which it has applied them.
+reach the proxies as messages through a channel of limited lines a second; a message costs its own lines and
+an overhead. Each batch of messages has a mark, and a proxy acknowledges the mark up to which it has applied
+them.
 """
 
 import dataclasses
@@ -96,7 +98,9 @@
 LATE_SLO_RATIO = 0.6  # of the SLO time: a mean latency at which many answers are late
 MAX_ADMISSION_DECREASE_RATIO = 0.4  # per step: out of an overload quickly
 MAX_ADMISSION_INCREASE_RATIO = 1.4  # per step: not so fast that the overload returns
-BACKLOG_RATIO = 3.0  # of the usual calls in flight: more than traffic swings cause, and seen before late sums
+BACKLOG_RATIO = (
+    3.0  # of the usual calls in flight: more than traffic swings cause, and seen before late reports
+)
 LATE_PRESSURE_RATIO = 1.3  # on the pressure while answers are late: the backlog has to be worked off too
 NO_RETRY_FAILURE_SHARE = 0.1  # that the median call meets: from here on nothing is tried again
 # By kind of level, the one that admits everything: calls a second at a proxy; for other kinds a share, 1
@@ -111,11 +115,11 @@
     and orders the difference between the wanted and the present state.
     """
 
-    def __init__(self, terms, seed):
-        self.terms = terms
-        self.probe_timeout = int(PROBE_TIMEOUT_SLO_RATIO * min(r.slo_time for r in terms.routes))
+    def __init__(self, parameters, seed):
+        self.parameters = parameters
+        self.probe_timeout = int(PROBE_TIMEOUT_SLO_RATIO * min(r.slo_time for r in parameters.routes))
         self.uniform = random.Random(seed).uniform
-        self.open_level = OPEN_LEVELS.get(terms.level_kind, 1.0)
+        self.open_level = OPEN_LEVELS.get(parameters.level_kind, 1.0)
         self.registry = registry = TaskRegistry()
         self.tasks = registry.tasks
         self.lines = registry.lines
@@ -131,10 +135,10 @@
         self.unbound_proxies = {}  # those not known for certain to be bound
         self.tables = [self.new_table(1)]
         self.withdrawn = {}  # task -> when its withdrawal was ordered, False where that order is in doubt
-        self.notes = []
-        self.pending_sums = []
-        self.counted_until = {}  # (task, zone) -> the end of the time that its sums have covered
-        self.timers = [(0, 0, Brain.subscribe, None)] * (terms.list_mode == "ask")
+        self.log_messages = []
+        self.pending_reports = []
+        self.counted_until = {}  # (task, zone) -> the end of the time that its reports have covered
+        self.timers = [(0, 0, Brain.subscribe, None)] * (parameters.list_mode == "ask")
         self.timer_serial = 0
         # Lines in the channel, estimated from what is unacknowledged and, while no stream has broken, from
         # the order of messages
@@ -151,7 +155,7 @@
         # in_order_from: from when on the order of messages is reliable; rebalanced_at: the last move of tasks
         # from one table to another
         self.queue_updated_at = self.in_order_from = self.rebalanced_at = 0
-        self.next_tick_at = self.subscribe_failures = self.sums_at = self.first_join_at = (
+        self.next_tick_at = self.subscribe_failures = self.first_report_at = self.first_join_at = (
             self.report_delay
         ) = self.queue_moved_at = 0
         self.admitted_share = 1.0  # of the work of all routes
@@ -161,7 +165,7 @@
         self.route_calls = {}  # since the levels were last updated
         self.mean_size = 0.0  # of the first ready tasks, as listed
         self.retries_stopped = False
-        self.report_round = terms.report_period  # the smoothed time between a task's reports
+        self.report_round = parameters.report_period  # the smoothed time between a task's reports
         self.fleet_size = 1  # the most tasks that were ever ready
         self.own_tasks = []  # this assigner's part of the ready tasks
         self.own_ids = frozenset()
@@ -175,34 +179,36 @@
         while self.timers and self.timers[0][0] <= now:
             _, _, action, subject = heapq.heappop(self.timers)
             action(self, now, subject, orders)
-        if self.pending_sums and now - self.sums_at >= REPORT_COLLECTION_TENTHS_MS:
-            self.evaluate_sums(now)
+        if self.pending_reports and now - self.first_report_at >= REPORT_COLLECTION_TENTHS_MS:
+            self.evaluate_reports(now)
         self.eject_and_readmit(now, self.observed())
         self.emit(now, orders)
-        orders += [gp.Note(self.notes.pop(0)) for _ in self.notes[:]]
+        orders += [gp.LogMessage(self.log_messages.pop(0)) for _ in self.log_messages[:]]
         if self.next_tick_at <= now:
             self.next_tick_at = now + TICK_TENTHS_MS
             self.remove_departed(now, orders)
-            orders.append(gp.Timer(self.next_tick_at, "beat"))
+            orders.append(gp.SetTimer(self.next_tick_at, "beat"))
         return orders
 
     def schedule(self, at, action, subject=None):
         self.timer_serial += 1
         heapq.heappush(self.timers, (at, self.timer_serial, action, subject))
 
-    def on_task_list(self, now, event):
+    def on_task_list_received(self, now, event):
         """Applies a task list, where a full one implies that all other tasks are gone. Subscribes again if
         the list was lost."""
-        if event.form == "lost":
+        if event.update_type == "lost":
             # The backoff is randomised so that not all assigners subscribe at once.
             wait = (
                 RESUBSCRIBE_BACKOFF_TENTHS_MS * 2 ** min(self.subscribe_failures, 5) * self.uniform(0.7, 1.3)
             )
             self.subscribe_failures += 1
-            return self.schedule(now + int(min(wait, self.terms.must_ask_in / 2)), Brain.subscribe)
-        self.subscribe_failures *= event.form == "stale"
+            return self.schedule(
+                now + int(min(wait, self.parameters.resubscribe_deadline / 2)), Brain.subscribe
+            )
+        self.subscribe_failures *= event.update_type == "stale"
         named = frozenset(line.task for line in event.lines)
-        unnamed = [x for k, x in self.lines.items() if event.form != "changes" and k not in named]
+        unnamed = [x for k, x in self.lines.items() if event.update_type != "changes" and k not in named]
         gone = [dataclasses.replace(x, state="gone", started_at=0) for x in unnamed if x.state != "gone"]
         self.mean_size = self.mean_size or statistics.fmean(
             [x.size for x in event.lines if x.state == "ready"] or [0]
@@ -217,7 +223,9 @@
         old_line = self.lines.get(line.task)
         task = self.tasks.get(line.task)
         state = old_line.state if old_line else "gone"
-        if line.state == "gone" and (state == "draining" or state == "ready" and not self.terms.gone_binds):
+        if line.state == "gone" and (
+            state == "draining" or state == "ready" and not self.parameters.dropped_counts_as_gone
+        ):
             if state == "ready":
                 task.fault_evidence = max(task.fault_evidence, UNLISTED_EVIDENCE)
                 self.registry.mark_unlisted(now, line.task)
@@ -227,7 +235,7 @@
                 task.unlisted = False
             else:
                 share = statistics.fmean(shares.get(line.kind) or [line.size / self.mean_size])
-                self.registry.register(Task(line, share, self.terms.warm_after))
+                self.registry.register(Task(line, share, self.parameters.warm_after))
                 for table in self.tables:  # a restarted task's old line goes as urgently as in a drain
                     table.weights |= {line.task: math.inf} if line.task in table.weights else {}
         self.registry.update_line(now, line)
@@ -241,32 +249,34 @@
                 and now - self.changed_at[name] >= DEPARTED_LINE_TENTHS_MS
                 and not any(name in t.weights for t in self.tables)
             ):
-                orders += [gp.Withdraw(name, False)] * (self.withdrawn.pop(name, None) is not None)
+                orders += [gp.WithdrawTask(name, False)] * (self.withdrawn.pop(name, None) is not None)
                 self.registry.remove(name)
 
     def subscribe(self, now, _, orders):
-        orders.append(gp.Watch())
+        orders.append(gp.SubscribeTaskList())
 
     def on_proxy_joined(self, now, event):
         """Adds a proxy, still unbound; one that is joined already is replaced."""
-        if not (self.proxies if event.aside else self.channel_proxies):
+        if not (self.proxies if event.external else self.channel_proxies):
             # The first to join. Whatever tables the proxies hold by chance count as even ones, in effect now.
             self.first_join_at = now
             self.counted_until = {}
-            self.pending_sums = []
+            self.pending_reports = []
             self.effective_at = {"weights": now, "levels": now}
             self.awaited = {}
         proxy = Proxy(now, event, self.remove_proxy(event.proxy))
         self.proxies[event.proxy] = self.unbound_proxies[event.proxy] = proxy
-        if not event.aside:
+        if not event.external:
             self.channel_proxies[event.proxy] = proxy
-            self.call_rate = self.call_rate + proxy.rate
+            self.call_rate = self.call_rate + proxy.call_rate
 
     def on_proxy_left(self, now, event):
         """A broken stream takes its lines out of the channel, and later messages overtake earlier ones: until
         the channel may have emptied, an acknowledgement proves nothing about the messages before it."""
         if (lost := self.remove_proxy(event.proxy)) and lost.unacknowledged_lines():
-            self.in_order_from = now + int(2 * SECOND * self.terms.queue_limit / self.terms.channel_lines)
+            self.in_order_from = now + int(
+                2 * SECOND * self.parameters.queue_limit / self.parameters.channel_lines
+            )
             self.acknowledge(now, lost, self.mark)
             # The stream broke before this event, so the latest acknowledgements prove nothing either.
             self.queue = self.unacknowledged
@@ -279,7 +289,7 @@
         if proxy:
             proxy.bind(False, None)
         if self.channel_proxies.pop(number, None):
-            self.call_rate = self.call_rate - proxy.rate if self.channel_proxies else 0.0
+            self.call_rate = self.call_rate - proxy.call_rate if self.channel_proxies else 0.0
         return proxy
 
     def bind(self, proxy, bound, table):
@@ -288,7 +298,7 @@
         self.unbound_proxies.pop(proxy.id, None)
         self.unbound_proxies |= {} if bound else {proxy.id: proxy}
 
-    def on_applied(self, now, event):
+    def on_orders_applied(self, now, event):
         """Handles an acknowledgement: the proxy has applied all its messages up to a mark."""
         if event.proxy in self.channel_proxies:
             self.acknowledge(now, self.channel_proxies[event.proxy], event.mark)
@@ -316,22 +326,22 @@
         tables = {table.number: table for table in self.tables}
         for order in event.orders:
             match order:
-                case gp.SetLine(table=number, task=k) if number in tables:
+                case gp.SetWeight(table=number, task=k) if number in tables:
                     tables[number].weights[k] = 0.0
-                case gp.Withdraw(task=k) if k in self.lines:
+                case gp.WithdrawTask(task=k) if k in self.lines:
                     self.withdrawn[k] = False
-                case gp.Bind(proxy=p, table=number) if p in self.proxies:
-                    bound = None if event.perhaps and number in tables else False
+                case gp.BindProxy(proxy=p, table=number) if p in self.proxies:
+                    bound = None if event.possibly_executed and number in tables else False
                     self.bind(self.proxies[p], bound, tables.get(number))
-                case gp.Admit(table=number) if number in tables:
+                case gp.SetAdmission(table=number) if number in tables:
                     tables[number].levels = {}
-                case gp.Seal(mark=mark) if not event.perhaps:
+                case gp.RequestAcknowledgement(mark=mark) if not event.possibly_executed:
                     self.sent_batches.pop(mark, None)
                     unsent = sum(p.unacknowledged.pop(mark, 0.0) for p in self.channel_proxies.values())
                     self.queue = max(0.0, self.queue - unsent)
                     self.unacknowledged = self.unacknowledged - unsent
 
-    def on_orders_in_doubt(self, now, event):
+    def on_channel_state_unknown(self, now, event):
         """Starts a new table that nobody is bound to, as all earlier orders may be lost."""
         self.tables = [self.new_table(self.tables[-1].number % 60_000 + 1)]
         self.withdrawn = dict.fromkeys(self.withdrawn, False)
@@ -341,8 +351,14 @@
         self.unbound_proxies = {k: p for k, p in self.unbound_proxies.items() if p.external}
 
     def new_table(self, number):
-        """An empty table. Without orders proxies admit everything and try again as the terms say."""
-        return Table(number, {k: (self.open_level, self.terms.tries) for k in range(len(self.terms.routes))})
+        """An empty table. Without orders proxies admit everything and retry as the parameters say."""
+        return Table(
+            number,
+            {
+                k: (self.open_level, self.parameters.default_retry_mode)
+                for k in range(len(self.parameters.routes))
+            },
+        )
 
     def confirm_pushes(self, now, proxy, mark):
         """Records an acknowledgement. A push takes effect once all but a tenth of the calls follow it."""
@@ -352,32 +368,37 @@
                 self.effective_at[kind] = now
                 _ = self.awaited.pop(kind)
 
-    def on_task_sums(self, now, event):
-        """Collects the sums of a known task, unless they began long before the first proxy joined."""
-        if event.task in self.tasks and event.span <= now - self.first_join_at + self.terms.report_period:
-            self.sums_at = self.sums_at if self.pending_sums else now
-            self.pending_sums.append(event)
-
-    def end_of_sums(self, now):
-        """The time up to which the pending sums have counted. The spans of a (task, zone) pair add up; the
-        median of all pairs excludes those with idle periods or lost sums."""
-        base = self.counted_until or {(e.task, e.zone): self.first_join_at for e in self.pending_sums}
-        ends = [base[e.task, e.zone] + e.span for e in self.pending_sums if (e.task, e.zone) in base]
+    def on_task_report(self, now, event):
+        """Collects the report of a known task, unless it covers time long before the first proxy joined."""
+        if (
+            event.task in self.tasks
+            and event.span <= now - self.first_join_at + self.parameters.report_period
+        ):
+            self.first_report_at = self.first_report_at if self.pending_reports else now
+            self.pending_reports.append(event)
+
+    def end_of_reports(self, now):
+        """The time up to which the pending reports have counted. The spans of a (task, zone) pair add up; the
+        median of all pairs excludes those with idle periods or lost reports."""
+        base = self.counted_until or {(e.task, e.zone): self.first_join_at for e in self.pending_reports}
+        ends = [base[e.task, e.zone] + e.span for e in self.pending_reports if (e.task, e.zone) in base]
         until = min(int(statistics.median(ends)) if ends else now - self.report_delay, now)
         kept = {pair: at for pair, at in self.counted_until.items() if pair[0] in self.tasks}
         self.report_delay = now - until
-        self.counted_until = kept | {(e.task, e.zone): until for e in self.pending_sums}
+        self.counted_until = kept | {(e.task, e.zone): until for e in self.pending_reports}
         return until
 
-    def evaluate_sums(self, now):
-        """Evaluates the pending sums. Adjusts the shares once there are enough sums that were measured wholly
+    def evaluate_reports(self, now):
+        """Evaluates the pending reports. Adjusts the shares once enough calls were reported for time wholly
         after the last push of weights took effect."""
-        until = self.end_of_sums(now)
-        spans = statistics.median([event.span for event in self.pending_sums])
-        self.report_round += SMOOTHING_FACTOR * (max(spans, self.terms.report_period) - self.report_round)
+        until = self.end_of_reports(now)
+        spans = statistics.median([event.span for event in self.pending_reports])
+        self.report_round += SMOOTHING_FACTOR * (
+            max(spans, self.parameters.report_period) - self.report_round
+        )
         sums_by_task = {}
         level_sums = [0, 0, 0.0]  # measured mostly at the present levels
-        for event in self.pending_sums:
+        for event in self.pending_reports:
             task = self.tasks.get(event.task)
             good = event.tries - event.failures
             if (
@@ -409,10 +430,10 @@
             self.usual_in_flight *= 1 + SMOOTHING_FACTOR * (
                 max(self.backlog() * BACKLOG_RATIO, 1 / self.usual_in_flight) - 1
             )
-        if level_sums[0] and self.terms.level_kind == "fraction":
+        if level_sums[0] and self.parameters.level_kind == "fraction":
             self.update_levels(*level_sums)
         tasks = [t for t in self.own_tasks if not t.ejected]
-        self.pending_sums = []
+        self.pending_reports = []
         if tasks and sum(t.tries for t in tasks) >= (
             MIN_ANSWERS_PER_TASK[any(t.headroom for t in tasks)] * len(tasks)
         ):
@@ -461,7 +482,7 @@
             0.0,
         )
 
-    def on_probe_answered(self, now, event):
+    def on_probe_finished(self, now, event):
         """Counts a probe as evidence, as long as the task is neither ejected nor merely slow."""
         task = self.tasks.get(event.task)
         if task is None or event.outcome in ("full", "other") or now - event.elapsed < task.ramp_from:
@@ -486,27 +507,27 @@
         )
         task.fault_evidence = min(max(task.fault_evidence, -MAX_GOOD_EVIDENCE), 2 * EJECTION_EVIDENCE)
 
-    def on_route_sums(self, now, event):
+    def on_route_report(self, now, event):
         self.route_calls[event.route] = self.route_calls.get(event.route, 0) + event.calls
 
     HANDLERS = {
-        gp.ListHeard: on_task_list,
+        gp.TaskListReceived: on_task_list_received,
         gp.ProxyJoined: on_proxy_joined,
         gp.ProxyLeft: on_proxy_left,
-        gp.Applied: on_applied,
+        gp.OrdersApplied: on_orders_applied,
         gp.OrdersLost: on_orders_lost,
-        gp.OrdersInDoubt: on_orders_in_doubt,
-        gp.TaskSums: on_task_sums,
-        gp.RouteSums: on_route_sums,
-        gp.ProbeAnswered: on_probe_answered,
-        gp.TimerDue: lambda *_: None,
+        gp.ChannelStateUnknown: on_channel_state_unknown,
+        gp.TaskReport: on_task_report,
+        gp.RouteReport: on_route_report,
+        gp.ProbeFinished: on_probe_finished,
+        gp.TimerExpired: lambda *_: None,
     }
 
     def probe(self, now, task, orders):
         """Probes a task and schedules its next probe, while it belongs to this assigner's part."""
         task.probe_scheduled = self.tasks.get(task.id) is task and task.id in self.own_ids
         if task.probe_scheduled:
-            orders.append(gp.Probe(task.id, self.probe_timeout))
+            orders.append(gp.SendProbe(task.id, self.probe_timeout))
             suspected = task.ejected or task.fault_evidence > EJECTION_EVIDENCE / 3
             self.schedule(
                 now + (SUSPECT_PROBE_INTERVAL_TENTHS_MS if suspected else PROBE_INTERVAL_TENTHS_MS),
@@ -529,7 +550,9 @@
         # Before the first step, while proxies still follow tables ordered before this start, the calls that a
         # task gets show its share there.
         for same in (
-            kinds.values() if any(not (p.bound or p.fresh) for p in self.channel_proxies.values()) else ()
+            kinds.values()
+            if any(not (p.bound or p.has_only_default_table) for p in self.channel_proxies.values())
+            else ()
         ):
             mean = statistics.fmean(task.tries for task in same)
             for task in same if not any(task.headroom for task in tasks) else ():
@@ -566,7 +589,7 @@
     def update_levels(self, tries, failures, latency):
         """Sets how much of each route is admitted where capacity is short, cutting the routes of the least
         importance for their work first. A call's work is estimated by its SLO time."""
-        slo = statistics.fmean(r.slo_time for r in self.terms.routes)
+        slo = statistics.fmean(r.slo_time for r in self.parameters.routes)
         late = latency / max(tries - failures, 1) > LATE_SLO_RATIO * slo or (
             self.usual_failure_share > NO_RETRY_FAILURE_SHARE
         )
@@ -579,10 +602,14 @@
             * min(max(1 / max(pressure, 0.1), MAX_ADMISSION_DECREASE_RATIO), MAX_ADMISSION_INCREASE_RATIO),
             1.0,
         )
-        work = {k: max(self.route_calls.get(k, 1), 1) * r.slo_time for k, r in enumerate(self.terms.routes)}
+        work = {
+            k: max(self.route_calls.get(k, 1), 1) * r.slo_time for k, r in enumerate(self.parameters.routes)
+        }
         cut = 1 - self.admitted_share
         total_work = sum(work.values())
-        for k in sorted(work, key=lambda k: self.terms.routes[k].importance / self.terms.routes[k].slo_time):
+        for k in sorted(
+            work, key=lambda k: self.parameters.routes[k].importance / self.parameters.routes[k].slo_time
+        ):
             part = min(cut * total_work / work[k], 1 - MIN_ROUTE_LEVEL)
             cut -= part * work[k] / total_work
             self.route_levels[k] = round(1 - part, 2)
@@ -607,10 +634,10 @@
             if (
                 task.ejected
                 and now >= task.ejected_until
-                and (task.probe_successes >= 2 or not self.terms.probes_allowed)
+                and (task.probe_successes >= 2 or not self.parameters.probes_allowed)
             ):
                 task.readmit(EJECTION_EVIDENCE / 2)
-                self.notes.append(f"{task.id} is let back on trial")
+                self.log_messages.append(f"{task.id} is let back on trial")
         ejected = sum(
             task.share
             for task in self.own_tasks
@@ -626,11 +653,11 @@
                 ejected += task.share * (task not in exempt)
                 task.ejected_until = now + min(
                     MIN_EJECTION_PERIODS * 2**task.ejections, MAX_EJECTION_PERIODS
-                ) * self.terms.report_period * (task not in exempt)
+                ) * self.parameters.report_period * (task not in exempt)
                 task.ejected = True
                 task.probe_successes = 0
                 task.ejections = task.ejections + (task not in exempt)
-                self.notes.append(f"{task.id} is taken out: it fails calls that others answer")
+                self.log_messages.append(f"{task.id} is taken out: it fails calls that others answer")
 
     def health(self):
         """1 while few tasks fail, down to 0 in an overload: where the median call meets a third of failures,
@@ -664,7 +691,7 @@
         self.fleet_size = max(self.fleet_size, len(ready))
         self.own_tasks = self.select_part(now, ready)
         self.own_ids = frozenset(t.id for t in self.own_tasks)
-        for t in [t for t in self.own_tasks if self.terms.probes_allowed and not t.probe_scheduled]:
+        for t in [t for t in self.own_tasks if self.parameters.probes_allowed and not t.probe_scheduled]:
             t.probe_scheduled = True
             self.schedule(now + int(self.uniform(0, PROBE_INTERVAL_TENTHS_MS)), Brain.probe, t)
         assigned = self.assign_to_tables(now, self.own_tasks)
@@ -676,7 +703,7 @@
         # The calls of a task while the whole fleet is ready; even: those of a ready task now, in such units
         task_calls = (
             max(self.call_rate, 0.1)
-            * max(self.terms.proxies / max(len(self.channel_proxies), 1), 1)
+            * max(self.parameters.proxies / max(len(self.channel_proxies), 1), 1)
             / self.fleet_size
         )
         even = self.fleet_size / max(len(ready), 1)
@@ -690,9 +717,14 @@
     def assign_to_tables(self, now, own_tasks):
         """The tasks of each table: of one, or of as many smaller ones as are needed to bind all proxies in
         time. A table with few healthy tasks for its calls gets some from the table that has the most."""
-        terms = self.terms
-        proxies = max(len(self.channel_proxies), self.terms.proxies / self.terms.assigners)
-        max_lines = MAX_BIND_ALL_S * terms.channel_lines / proxies - terms.head_lines - 2 - len(terms.routes)
+        parameters = self.parameters
+        proxies = max(len(self.channel_proxies), self.parameters.proxies / self.parameters.assigners)
+        max_lines = (
+            MAX_BIND_ALL_S * parameters.channel_lines / proxies
+            - parameters.message_overhead_lines
+            - 2
+            - len(parameters.routes)
+        )
         while len(self.tables) < math.ceil(len(own_tasks) / max(max_lines, MIN_TABLE_LINES)):
             self.tables.append(self.new_table(self.tables[-1].number % 60_000 + 1))
         assigned = {t: [] for t in self.tables}
@@ -709,7 +741,7 @@
             interval = 0 if few and not weak.channel_proxies else PUSH_INTERVALS_TENTHS_MS[1 if few else 2]
             needed = few or (
                 2 * strength[weak] < strength[strong]
-                and self.queue <= PUSH_START_QUEUE_S[2] * terms.channel_lines
+                and self.queue <= PUSH_START_QUEUE_S[2] * parameters.channel_lines
             )
             if needed and now - self.rebalanced_at >= interval:
                 self.rebalanced_at = now if weak.channel_proxies else self.rebalanced_at
@@ -758,21 +790,22 @@
         The part is as large as the share of the proxies that are joined, and with several tables it never
         shrinks. Assigners cut it from the same circular order, each from its own place.
         """
-        terms = self.terms
-        even = 1 / self.terms.assigners
-        size = len(self.channel_proxies) / self.terms.proxies
+        parameters = self.parameters
+        even = 1 / self.parameters.assigners
+        size = len(self.channel_proxies) / self.parameters.proxies
         self.part_size = size = max(size, even, self.part_size * (len(self.tables) > 1))
-        whole = terms.proxies * even * (self.fleet_size + terms.head_lines)
-        if whole <= min(terms.queue_limit, MAX_BIND_ALL_S * terms.channel_lines) or size >= 1:
+        whole = parameters.proxies * even * (self.fleet_size + parameters.message_overhead_lines)
+        if whole <= min(parameters.queue_limit, MAX_BIND_ALL_S * parameters.channel_lines) or size >= 1:
             return ready
         if self.task_order[0] is not ready:
             by_id = sorted(ready, key=lambda t: t.id)
-            offset = round(len(ready) * terms.rank / terms.assigners)
-            own_zone_first = terms.homed and terms.assigners >= terms.zones
+            offset = round(len(ready) * parameters.rank / parameters.assigners)
+            own_zone_first = parameters.join_own_zone and parameters.assigners >= parameters.zones
             self.task_order = (
                 ready,
                 sorted(
-                    by_id[offset:] + by_id[:offset], key=lambda t: own_zone_first and t.zone != terms.zone
+                    by_id[offset:] + by_id[:offset],
+                    key=lambda t: own_zone_first and t.zone != parameters.zone,
                 ),
             )
         part = self.task_order[1][: math.ceil(len(ready) * size)]
@@ -787,15 +820,18 @@
             / max(len(lines), 1)
             / (1.001 - self.usual_failure_share)
         )
-        return not self.terms.strikes or self.terms.strikes / max(calls, 0.001) > SLOW_AVOIDANCE_S
+        return (
+            not self.parameters.failures_before_avoidance
+            or self.parameters.failures_before_avoidance / max(calls, 0.001) > SLOW_AVOIDANCE_S
+        )
 
     def cold_capacity(self, now, task):
         """The part of an even share that a cold task may get by its age."""
         age = now - task.ramp_from
-        start = self.terms.start_share
-        fall = self.terms.fall_multiple
+        start = self.parameters.start_share
+        fall = self.parameters.fall_multiple
         capacity = COLD_CAPACITY_SHARE * (fall * (start + (1 - start) * min(age / max(task.ramp_time, 1), 1)))
-        return capacity * (age >= COLD_START_DELAY_PERIODS * self.terms.report_period)
+        return capacity * (age >= COLD_START_DELAY_PERIODS * self.parameters.report_period)
 
     def emit(self, now, orders):
         """The one place where the wanted and the present state are compared and the difference is ordered:
@@ -804,33 +840,34 @@
         silent_s = (
             (now - self.queue_updated_at) * (now - self.queue_moved_at > CHANNEL_SILENCE_TENTHS_MS) / SECOND
         )
-        self.queue = max(0.0, self.queue - silent_s * self.terms.channel_lines / 2)
+        self.queue = max(0.0, self.queue - silent_s * self.parameters.channel_lines / 2)
         self.queue_updated_at = now
-        queue_limit = self.terms.queue_limit
+        queue_limit = self.parameters.queue_limit
         wanted = self.wanted_lines(now)
         bind_limits = (
-            min(BIND_QUEUE_SHARES[0] * queue_limit, BIND_MAX_QUEUE_S * self.terms.channel_lines),
+            min(BIND_QUEUE_SHARES[0] * queue_limit, BIND_MAX_QUEUE_S * self.parameters.channel_lines),
             BIND_QUEUE_SHARES[1] * queue_limit,
         )
         # A proxy that has waited since before this may well hold lines of tasks that left.
-        late_before = now - LATE_BIND_GRACE_SHARE * self.terms.grace
+        late_before = now - LATE_BIND_GRACE_SHARE * self.parameters.drain_grace_period
         joining = sorted(
             self.unbound_proxies.values(),
-            key=lambda proxy: (proxy.joined_at > late_before, -proxy.rate, proxy.id),
+            key=lambda proxy: (proxy.joined_at > late_before, -proxy.call_rate, proxy.id),
         )
         inheriting = now - self.first_join_at < INHERITED_TABLES_TENTHS_MS and not any(
             t.headroom for t in self.own_tasks
         )
-        keeping = [proxy for proxy in joining if inheriting and not proxy.fresh]
-        joining = [proxy for proxy in joining if not inheriting or proxy.fresh]
+        keeping = [proxy for proxy in joining if inheriting and not proxy.has_only_default_table]
+        joining = [proxy for proxy in joining if not inheriting or proxy.has_only_default_table]
         # Tries follow on proof that the call was not carried out, so that nothing is done twice; none follow
         # while most tasks fail, as they would feed the overload.
         self.retries_stopped = self.usual_failure_share > (
             NO_RETRY_FAILURE_SHARE / 2 if self.retries_stopped else NO_RETRY_FAILURE_SHARE
         )
-        tries = "none" if self.retries_stopped else "on proof"
+        retry_mode = "none" if self.retries_stopped else "on proof"
         levels = {
-            k: (self.route_levels.get(k, self.open_level), tries) for k in range(len(self.terms.routes))
+            k: (self.route_levels.get(k, self.open_level), retry_mode)
+            for k in range(len(self.parameters.routes))
         }
         written_before = self.written_lines
         self.shortest_message = queue_limit
@@ -847,15 +884,19 @@
                 else []
             )
             notable = changed_routes and (
-                self.admitted_share < 1 or table.levels and (table.levels_ordered or self.terms.tries)
+                self.admitted_share < 1
+                or table.levels
+                and (table.levels_ordered or self.parameters.default_retry_mode)
             )
             for level in sorted({levels[k] for k in changed_routes}):
                 routes = tuple(k for k in changed_routes if levels[k] == level)
-                orders.append(gp.Admit(table.number, routes, *level))
+                orders.append(gp.SetAdmission(table.number, routes, *level))
                 table.levels_ordered = True
                 if notable and not levels_moved:
                     share = level[0] / self.open_level
-                    self.notes.append(f"routes {routes} are let in at {share:.0%}, tried again {tries}")
+                    self.log_messages.append(
+                        f"routes {routes} are let in at {share:.0%}, tried again {retry_mode}"
+                    )
             table.levels = levels if changed_routes else table.levels
             if sent or changed_routes:
                 self.shortest_message = min(
@@ -871,11 +912,14 @@
         while joining:
             proxy = joining[0]
             late = proxy.joined_at <= late_before
-            table = max(self.tables, key=lambda t: total_weight[t] / (t.call_rate + proxy.rate))
+            table = max(self.tables, key=lambda t: total_weight[t] / (t.call_rate + proxy.call_rate))
             lines = len(table.weights) + len(levels) * table.levels_ordered + 1
-            if self.queue + lines + self.terms.head_lines + 1 > bind_limits[late and not drains_wait]:
+            if (
+                self.queue + lines + self.parameters.message_overhead_lines + 1
+                > bind_limits[late and not drains_wait]
+            ):
                 break
-            orders.append(gp.Bind(proxy.id, table.number))
+            orders.append(gp.BindProxy(proxy.id, table.number))
             self.bind(proxy, True, table)
             self.shortest_message = min(self.shortest_message, self.record_messages(now, lines, [proxy]))
             reached += [joining.pop(0)] * (not proxy.external)
@@ -883,7 +927,7 @@
         ask_all = bool(waiting) and self.withdraw_departed(now, waiting, bool(keeping), orders)
         if self.written_lines > written_before:
             self.mark = (self.mark + 1) % 65_536
-            orders.append(gp.Seal(self.mark, ask_all))
+            orders.append(gp.RequestAcknowledgement(self.mark, ask_all))
             self.sent_batches[self.mark] = [written_before, self.shortest_message, self.written_lines]
         if levels_moved:
             self.effective_at["levels"] = 0
@@ -902,7 +946,9 @@
         no_line_remains = not any(weight and name in lines for name, weight in weights.items())
         for name in weights:
             # If the list has become empty and being dropped from it does not bind, the last table is kept.
-            if name not in lines and (lines or self.terms.gone_binds or self.lines[name].state == "draining"):
+            if name not in lines and (
+                lines or self.parameters.dropped_counts_as_gone or self.lines[name].state == "draining"
+            ):
                 task = self.tasks[name]
                 deferrable = weights[name] < math.inf and self.lines[name].state == "ready"
                 changes.append(
@@ -922,9 +968,9 @@
         for urgency, _, name, weight in changes[:sent]:
             table.pushed_at[urgency] = now if table.channel_proxies else table.pushed_at[urgency]
             if weight and self.withdrawn.pop(name, None) is not None:
-                orders.append(gp.Withdraw(name, False))
+                orders.append(gp.WithdrawTask(name, False))
                 self.record_messages(now, 1, joining)
-            orders.append(gp.SetLine(table.number, name, round(weight, 3)))
+            orders.append(gp.SetWeight(table.number, name, round(weight, 3)))
             table.set_weight(name, weight)
             self.changed_at[name] = self.changed_at[name] if weight else now
         return sent, changes
@@ -934,20 +980,24 @@
 
         keeping: some of them keep older tables on purpose. Returns whether all proxies must acknowledge.
         """
-        head = self.terms.head_lines + 1
-        binding_states = ("draining", "gone" if self.terms.gone_binds else "draining")
-        bind_lines = statistics.fmean(len(t.weights) for t in self.tables) + len(self.terms.routes) + 1 + head
+        overhead = self.parameters.message_overhead_lines + 1
+        binding_states = ("draining", "gone" if self.parameters.dropped_counts_as_gone else "draining")
+        bind_lines = (
+            statistics.fmean(len(t.weights) for t in self.tables) + len(self.parameters.routes) + 1 + overhead
+        )
         binds_end_in = max(INHERITED_TABLES_TENTHS_MS - now + self.first_join_at, 0) if keeping else 0
-        binds_end_in += (self.queue + len(waiting) * bind_lines) / self.terms.channel_lines * SECOND
-        if binds_end_in <= BIND_DEADLINE_GRACE_SHARE * self.terms.grace - now + min(
+        binds_end_in += (self.queue + len(waiting) * bind_lines) / self.parameters.channel_lines * SECOND
+        if binds_end_in <= BIND_DEADLINE_GRACE_SHARE * self.parameters.drain_grace_period - now + min(
             p.joined_at for p in waiting
         ):
             return False
-        room = int((PUSH_QUEUE_SHARES[0] * self.terms.queue_limit - self.queue) / len(waiting) - head)
+        room = int(
+            (PUSH_QUEUE_SHARES[0] * self.parameters.queue_limit - self.queue) / len(waiting) - overhead
+        )
         # Only tasks that have no line in any table and whose line was not removed just now: otherwise the
         # withdrawal would cost the bound proxies a message too. One that is repeated goes to all who wait.
         withdrawn = self.withdrawn
-        late_before = now - LATE_BIND_GRACE_SHARE * self.terms.grace
+        late_before = now - LATE_BIND_GRACE_SHARE * self.parameters.drain_grace_period
         to_withdraw = [
             k
             for k in sorted(self.leaving, key=self.changed_at.get)
@@ -958,14 +1008,14 @@
         ]
         # If there is not enough room for all, those that left first
         to_withdraw = (
-            to_withdraw if room >= len(to_withdraw) else to_withdraw[: max(room, 0)] * (room >= head)
+            to_withdraw if room >= len(to_withdraw) else to_withdraw[: max(room, 0)] * (room >= overhead)
         )
-        if not to_withdraw or not keeping and len(to_withdraw) + head > bind_lines:
+        if not to_withdraw or not keeping and len(to_withdraw) + overhead > bind_lines:
             return False  # where it costs more than the binds it would only delay them
-        orders += [gp.Withdraw(k, True) for k in to_withdraw]
+        orders += [gp.WithdrawTask(k, True) for k in to_withdraw]
         withdrawn |= dict.fromkeys(to_withdraw, max(now, 1))
         self.shortest_message = min(
-            self.shortest_message, head, self.record_messages(now, len(to_withdraw), waiting)
+            self.shortest_message, overhead, self.record_messages(now, len(to_withdraw), waiting)
         )
         # A proxy that holds none of these lines gets no message and would acknowledge nothing: lines that
         # were never in the channel would count in the queue and delay the next withdrawals. So all proxies
@@ -973,7 +1023,7 @@
         others = [p for k, p in self.channel_proxies.items() if k not in self.unbound_proxies]
         ask_all = (
             # Only if the queue and the message cap have room for that as well
-            self.queue + head * len(others) <= PUSH_QUEUE_SHARES[0] * self.terms.queue_limit
+            self.queue + overhead * len(others) <= PUSH_QUEUE_SHARES[0] * self.parameters.queue_limit
             and not any(self.push_blocked(now, 0, table) for table in self.tables)
         )
         self.record_messages(now, 0, others if ask_all else [])
@@ -982,27 +1032,29 @@
     def fitting_changes(self, now, changes, table):
         """How many of the sorted changes may be ordered now, by push interval, queue and message cap."""
         fit = 0
-        head = self.terms.head_lines + 1
+        overhead = self.parameters.message_overhead_lines + 1
         proxy_count = len(table.channel_proxies)
-        limit = self.terms.queue_limit
+        limit = self.parameters.queue_limit
         for urgency in range(3):
             eligible = sum(c[0] <= urgency for c in changes)
             if eligible <= fit or self.push_blocked(now, urgency, table):
                 continue
             fit = fit if proxy_count else eligible
-            if proxy_count and (fit or self.queue <= PUSH_START_QUEUE_S[urgency] * self.terms.channel_lines):
-                max_queue = PUSH_MAX_QUEUE_S * self.terms.channel_lines if urgency else limit
+            if proxy_count and (
+                fit or self.queue <= PUSH_START_QUEUE_S[urgency] * self.parameters.channel_lines
+            ):
+                max_queue = PUSH_MAX_QUEUE_S * self.parameters.channel_lines if urgency else limit
                 room = int(
-                    (min(PUSH_QUEUE_SHARES[urgency] * limit, max_queue) - self.queue) / proxy_count - head
+                    (min(PUSH_QUEUE_SHARES[urgency] * limit, max_queue) - self.queue) / proxy_count - overhead
                 )
-                # A part of them only if its lines outweigh the heads, which would otherwise fill the channel.
-                fit = eligible if room >= eligible else max(fit, room * (room >= head or urgency == 2))
+                # A part of them only if it outweighs the overheads, which would otherwise fill the channel.
+                fit = eligible if room >= eligible else max(fit, room * (room >= overhead or urgency == 2))
         return fit
 
     def push_blocked(self, now, urgency, table):
         """Whether a push of this urgency to a table is too soon after the last, or near the message cap."""
-        cap = self.terms.message_cap
-        since = now - self.terms.message_span - SECOND
+        cap = self.parameters.message_cap
+        since = now - self.parameters.message_cap_period - SECOND
         capped = cap and any(
             p.messages_since(since) >= MESSAGE_CAP_SHARES[urgency] * cap - 1
             for p in table.channel_proxies.values()
@@ -1011,11 +1063,13 @@
 
     def record_messages(self, now, lines, proxies):
         """Adds a message of so many lines for each proxy to the queue; returns its cost in lines."""
-        cost = lines + self.terms.head_lines + 1  # 1: the line that asks for an acknowledgement
+        cost = (
+            lines + self.parameters.message_overhead_lines + 1
+        )  # 1: the line that asks for an acknowledgement
         self.queue_moved_at = self.queue_moved_at if self.queue else now
         proxies = [p for p in proxies if not p.external]
         total = len(proxies) * cost
-        since = now - self.terms.message_span - SECOND
+        since = now - self.parameters.message_cap_period - SECOND
         self.queue = self.queue + total
         self.unacknowledged = self.unacknowledged + total
         self.written_lines += total
--- a/garnetpaddle/fronts/front_ends.py
+++ b/garnetpaddle/fronts/front_ends.py
@@ -26,7 +26,7 @@
 def session_registry_of(configuration, settings, terms, started_at):
     """Builds the sessions' registry from the operator's and the platform's configuration.
 
-    configuration: operator.OperatorConfiguration; settings: boot.Settings; terms: interface.Terms."""
+    configuration: operator.OperatorConfiguration; settings: boot.Settings; terms: interface.Parameters."""
     routes = {c.name: k for k, c in enumerate(settings.categories)}
     groups = {}
     for group in configuration.groups:
@@ -52,7 +52,10 @@
             task_addresses,
             None,
         )
-        self.snapshot_builder, self.publisher = SnapshotBuilder(terms.gone_binds), SnapshotPublisher()
+        self.snapshot_builder, self.publisher = (
+            SnapshotBuilder(terms.dropped_counts_as_gone),
+            SnapshotPublisher(),
+        )
         self.registry = session_registry_of(configuration, settings, terms, now())
         limits = configuration.limits
         self.manager = ConnectionManager(
@@ -80,8 +83,8 @@
     @staticmethod
     def platform_orders(reply):
         """Returns the orders of a reply that go to the platform's relay; none if only seals would be left."""
-        kept = [o for o in reply if not (isinstance(o, gp.Bind) and o.proxy >= FIRST_FOLLOWER_NUMBER)]
-        if len(kept) < len(reply) and all(isinstance(o, gp.Seal) for o in kept):
+        kept = [o for o in reply if not (isinstance(o, gp.BindProxy) and o.proxy >= FIRST_FOLLOWER_NUMBER)]
+        if len(kept) < len(reply) and all(isinstance(o, gp.RequestAcknowledgement) for o in kept):
             return []
         return kept
 
--- a/garnetpaddle/interface/events.py
+++ b/garnetpaddle/interface/events.py
@@ -1,14 +1,20 @@
-"""What an instance hears. All times are whole tenths of a millisecond."""
+"""Events: what an assigner receives. All times are whole tenths of a millisecond.
+
+`logged_as` and `logged_fields` are the names in the logs, which tools read (LogFormat).
+"""
 
 from dataclasses import dataclass
 
+from garnetpaddle.interface.log_format import LogFormat
 from garnetpaddle.interface.orders import Order
 
 
-@dataclass(frozen=True, slots=True)
-class TaskLine:
+@dataclass(frozen=True, slots=True, repr=False)
+class TaskLine(LogFormat):
     """One line of the task list."""
 
+    logged_as = "TaskLine"
+    logged_fields = ("task", "zone", "cell", "state", "size", "started_at", "kind")
     task: str
     zone: str
     cell: int
@@ -18,92 +24,116 @@
     kind: str = ""  # the machine's kind as listed: tasks of one kind are alike, whatever its name
 
 
-@dataclass(frozen=True, slots=True)
-class ListHeard:
-    form: str  # "changes", "full", "stale" (the full list as last had) or "lost"
+@dataclass(frozen=True, slots=True, repr=False)
+class TaskListReceived(LogFormat):
+    """The task list, changes of it, or the loss of the subscription to it."""
+
+    logged_as = "ListHeard"
+    logged_fields = ("form", "lines")
+    update_type: str  # "changes", "full", "stale" (the last known full list) or "lost"
     lines: tuple[TaskLine, ...]
 
 
-@dataclass(frozen=True, slots=True)
-class TimerDue:
+@dataclass(frozen=True, slots=True, repr=False)
+class TimerExpired(LogFormat):
+    logged_as = "TimerDue"
+    logged_fields = ("key",)
     key: str
 
 
-@dataclass(frozen=True, slots=True)
-class ProbeAnswered:
+@dataclass(frozen=True, slots=True, repr=False)
+class ProbeFinished(LogFormat):
+    logged_as = "ProbeAnswered"
+    logged_fields = ("task", "elapsed", "outcome", "load")
     task: str
     elapsed: int
     outcome: str  # "ok", "error", "full", "timeout", "unreachable", "reset" or "other"
     load: dict[str, float]
 
 
-@dataclass(frozen=True, slots=True)
-class ProxyJoined:
+@dataclass(frozen=True, slots=True, repr=False)
+class ProxyJoined(LogFormat):
+    logged_as = "ProxyJoined"
+    logged_fields = ("proxy", "rate", "fresh", "zone", "aside")
     proxy: int
-    rate: float  # calls a second it usually gets
-    fresh: bool  # it holds only its standing table
+    call_rate: float  # calls a second that it usually receives
+    has_only_default_table: bool  # it holds no table that was ordered
     zone: str
-    aside: bool = False  # an outside follower: what it is told does not go through the channel
+    external: bool = False  # a follower outside the channel: its updates do not go through the channel
 
 
-@dataclass(frozen=True, slots=True)
-class ProxyLeft:
+@dataclass(frozen=True, slots=True, repr=False)
+class ProxyLeft(LogFormat):
+    logged_as = "ProxyLeft"
+    logged_fields = ("proxy",)
     proxy: int
 
 
-@dataclass(frozen=True, slots=True)
-class TaskSums:
-    """What the joined proxies of one zone met at a task."""
+@dataclass(frozen=True, slots=True, repr=False)
+class TaskReport(LogFormat):
+    """The tries that the joined proxies of one zone made at a task."""
 
+    logged_as = "TaskSums"
+    logged_fields = ("task", "zone", "tries", "failures", "latency", "span", "load")
     task: str
     zone: str
     tries: int
     failures: int
-    latency: float  # mean of the good answers; 0: none
-    span: int
+    latency: float  # mean of the successful tries; 0: none
+    span: int  # the time that the report covers
     load: dict[str, float]
 
 
-@dataclass(frozen=True, slots=True)
-class RouteSums:
-    """The calls of one route that came to a joined proxy."""
+@dataclass(frozen=True, slots=True, repr=False)
+class RouteReport(LogFormat):
+    """The calls of one route that a joined proxy received."""
 
+    logged_as = "RouteSums"
+    logged_fields = ("proxy", "route", "calls", "unanswered", "span")
     proxy: int
     route: int
     calls: int
     unanswered: int
-    span: int
+    span: int  # the time that the report covers
 
 
-@dataclass(frozen=True, slots=True)
-class Applied:
+@dataclass(frozen=True, slots=True, repr=False)
+class OrdersApplied(LogFormat):
+    """A proxy's acknowledgement that it has applied all orders up to a mark."""
+
+    logged_as = "Applied"
+    logged_fields = ("proxy", "mark", "elapsed")
     proxy: int
     mark: int
     elapsed: int
 
 
-@dataclass(frozen=True, slots=True)
-class OrdersLost:
-    """Orders that were given and that no answer has confirmed."""
+@dataclass(frozen=True, slots=True, repr=False)
+class OrdersLost(LogFormat):
+    """Orders that were sent and that no response has confirmed."""
 
+    logged_as = "OrdersLost"
+    logged_fields = ("orders", "perhaps")
     orders: tuple[Order, ...]
-    perhaps: bool  # they may have been carried out all the same; else surely not
+    possibly_executed: bool  # False: certainly not executed
+
 
+@dataclass(frozen=True, slots=True, repr=False)
+class ChannelStateUnknown(LogFormat):
+    """The channel may have lost all orders ever sent; a ProxyJoined follows for each joined proxy."""
 
-@dataclass(frozen=True, slots=True)
-class OrdersInDoubt:
-    """What carries the orders may have lost all that it was ever given; who is joined is told anew."""
+    logged_as = "OrdersInDoubt"
 
 
 Event = (
-    ListHeard
-    | TimerDue
-    | ProbeAnswered
+    TaskListReceived
+    | TimerExpired
+    | ProbeFinished
     | ProxyJoined
     | ProxyLeft
-    | TaskSums
-    | RouteSums
-    | Applied
+    | TaskReport
+    | RouteReport
+    | OrdersApplied
     | OrdersLost
-    | OrdersInDoubt
+    | ChannelStateUnknown
 )
--- a/garnetpaddle/interface/orders.py
+++ b/garnetpaddle/interface/orders.py
@@ -1,71 +1,105 @@
-"""What an instance orders. All times are whole tenths of a millisecond."""
+"""Orders: what an assigner decides. All times are whole tenths of a millisecond.
+
+`logged_as` and `logged_fields` are the names in the logs, which tools read (LogFormat).
+"""
 
 from dataclasses import dataclass
 
+from garnetpaddle.interface.log_format import LogFormat
+
 
-@dataclass(frozen=True, slots=True)
-class SetLine:
-    """One line of a table; weight 0 removes it."""
+@dataclass(frozen=True, slots=True, repr=False)
+class SetWeight(LogFormat):
+    """Sets one line of a table; weight 0 removes it."""
 
+    logged_as = "SetLine"
+    logged_fields = ("table", "task", "weight")
     table: int
     task: str
     weight: float
 
 
-@dataclass(frozen=True, slots=True)
-class Bind:
-    """A proxy follows a table, for all routes."""
+@dataclass(frozen=True, slots=True, repr=False)
+class BindProxy(LogFormat):
+    """Makes a proxy follow a table, for all routes."""
 
+    logged_as = "Bind"
+    logged_fields = ("proxy", "table")
     proxy: int
     table: int
 
 
-@dataclass(frozen=True, slots=True)
-class Withdraw:
-    """Shut a task out of every table, or let it back in."""
+@dataclass(frozen=True, slots=True, repr=False)
+class WithdrawTask(LogFormat):
+    """Excludes a task from every table, or allows it again."""
 
+    logged_as = "Withdraw"
+    logged_fields = ("task", "out")
     task: str
-    out: bool
+    withdrawn: bool
 
 
-@dataclass(frozen=True, slots=True)
-class Admit:
-    """How much of some routes a table lets in, and when its proxies try again."""
+@dataclass(frozen=True, slots=True, repr=False)
+class SetAdmission(LogFormat):
+    """Sets how much of some routes a table admits, and when its proxies retry."""
 
+    logged_as = "Admit"
+    logged_fields = ("table", "routes", "level", "tries")
     table: int
     routes: tuple[int, ...]
-    level: float  # by Terms.level_kind: a share, 1 letting all in, or calls a second at each proxy
-    tries: str  # "none", "on proof" or "once"
+    level: float  # by Parameters.level_kind: a share, 1 admitting all, or calls a second at each proxy
+    retry_mode: str  # "none", "on proof" (that the call was not executed) or "once"
 
 
-@dataclass(frozen=True, slots=True)
-class Seal:
-    """Ask the proxies this reply reaches (or all joined ones) to say when they have applied it."""
+@dataclass(frozen=True, slots=True, repr=False)
+class RequestAcknowledgement(LogFormat):
+    """Asks the proxies that this batch of orders reaches, or all joined ones, to report when they have
+    applied it."""
 
+    logged_as = "Seal"
+    logged_fields = ("mark", "all_proxies")
     mark: int
     all_proxies: bool
 
 
-@dataclass(frozen=True, slots=True)
-class Probe:
+@dataclass(frozen=True, slots=True, repr=False)
+class SendProbe(LogFormat):
+    """Sends a health check to a task."""
+
+    logged_as = "Probe"
+    logged_fields = ("task", "wait")
     task: str
-    wait: int  # no answer by then is a timeout
+    timeout: int
 
 
-@dataclass(frozen=True, slots=True)
-class Watch:
-    """Subscribe to the task list."""
+@dataclass(frozen=True, slots=True, repr=False)
+class SubscribeTaskList(LogFormat):
+    logged_as = "Watch"
 
 
-@dataclass(frozen=True, slots=True)
-class Timer:
+@dataclass(frozen=True, slots=True, repr=False)
+class SetTimer(LogFormat):
+    logged_as = "Timer"
+    logged_fields = ("at", "key")
     at: int
     key: str
 
 
-@dataclass(frozen=True, slots=True)
-class Note:
+@dataclass(frozen=True, slots=True, repr=False)
+class LogMessage(LogFormat):
+    logged_as = "Note"
+    logged_fields = ("text",)
     text: str
 
 
-Order = SetLine | Bind | Withdraw | Admit | Seal | Probe | Watch | Timer | Note
+Order = (
+    SetWeight
+    | BindProxy
+    | WithdrawTask
+    | SetAdmission
+    | RequestAcknowledgement
+    | SendProbe
+    | SubscribeTaskList
+    | SetTimer
+    | LogMessage
+)
--- a/garnetpaddle/net/decision_loop.py
+++ b/garnetpaddle/net/decision_loop.py
@@ -68,7 +68,7 @@
         events, self.pending = self.pending, []
         self.wake.clear()
         while self.timers and self.timers[0].at <= now:
-            events.append(gp.TimerDue(heapq.heappop(self.timers).key))
+            events.append(gp.TimerExpired(heapq.heappop(self.timers).key))
         orders = self.brain.handle(now, events)
         if self.trace:
             print_trace(now, events, orders)
@@ -81,14 +81,14 @@
         relay_orders = []
         for order in orders:
             match order:
-                case gp.Timer():
+                case gp.SetTimer():
                     self.serial += 1
                     heapq.heappush(self.timers, ScheduledTimer(order.at, self.serial, order.key))
-                case gp.Note():
+                case gp.LogMessage():
                     log.info("decision", text=order.text)
-                case gp.Probe():
+                case gp.SendProbe():
                     self.handlers.probe(order)
-                case gp.Watch():
+                case gp.SubscribeTaskList():
                     self.handlers.watch()
                 case _:
                     relay_orders.append(order)
@@ -99,5 +99,5 @@
 def print_trace(now, events, orders):
     """Prints the events and orders of a batch except timers."""
     for item in (*events, *orders):
-        if not isinstance(item, gp.TimerDue | gp.Timer):
+        if not isinstance(item, gp.TimerExpired | gp.SetTimer):
             print(f"trace {now} {item}", flush=True)
--- a/garnetpaddle/net/event_subscription.py
+++ b/garnetpaddle/net/event_subscription.py
@@ -1,4 +1,4 @@
-"""Subscription to the relay's event stream: which proxies are joined and which seals they have applied."""
+"""Subscription to the relay's event stream: which proxies are joined and which orders they have applied."""
 
 import asyncio
 
@@ -23,7 +23,8 @@
 class EventSubscription:
     """Keeps one event stream of the relay open and publishes its events.
 
-    marks: order_codec.MarkTranslator; publish: receives ProxyJoined, ProxyLeft, Applied, OrdersInDoubt."""
+    marks: order_codec.MarkTranslator; publish: receives ProxyJoined, ProxyLeft, OrdersApplied and
+    ChannelStateUnknown."""
 
     def __init__(self, address, marks, publish):
         self.address, self.marks, self.publish = address, marks, publish
@@ -104,7 +105,7 @@
         if overlapping:
             return
         if self.opened_before:  # the relay may have restarted in between
-            self.publish(gp.OrdersInDoubt())
+            self.publish(gp.ChannelStateUnknown())
         self.opened_before = True
         if asyncio.current_task() is self.move_task:
             self.finish_move(view.address)
@@ -139,12 +140,12 @@
         except (KeyError, ValueError) as error:
             log.warning("news_unreadable", kind=kind[:MAX_LOGGED_KIND], why=str(error)[:MAX_LOGGED_ERROR])
             return
-        if isinstance(event, gp.ProxyJoined | gp.ProxyLeft | gp.Applied):
+        if isinstance(event, gp.ProxyJoined | gp.ProxyLeft | gp.OrdersApplied):
             self.membership.receive(view, event)
 
     def publish_event(self, event):
         """Publishes an event with the brain's marks; drops acknowledgements of an earlier process's marks."""
-        if isinstance(event, gp.Applied):
+        if isinstance(event, gp.OrdersApplied):
             event = self.marks.from_wire(event)
         if event is not None:
             self.publish(event)
--- a/garnetpaddle/net/listener.py
+++ b/garnetpaddle/net/listener.py
@@ -47,7 +47,7 @@
 class Listener:
     """Keeps at most `capacity` connections and reads them without waiting for the Brain.
 
-    publish: receives the collectors' sums; known: message_codec.KnownNames."""
+    publish: receives the collectors' reports; known: message_codec.KnownNames."""
 
     def __init__(self, publish, known, capacity):
         self.publish, self.known, self.capacity = publish, known, capacity
@@ -160,7 +160,7 @@
             case message_codec.CollectorHello(zone) if peer.zone in (None, zone):
                 peer.consecutive_unknown = 0
                 self.register_collector(peer, zone)
-            case gp.TaskSums() | gp.RouteSums() as event if peer.zone is not None:
+            case gp.TaskReport() | gp.RouteReport() as event if peer.zone is not None:
                 peer.consecutive_unknown = 0
                 self.confirm_collector(peer)
                 self.publish(event)
--- a/garnetpaddle/net/message_codec.py
+++ b/garnetpaddle/net/message_codec.py
@@ -81,9 +81,9 @@
     """The event of a message; raises KeyError for a missing field, ValueError for an invalid one."""
     match kind:
         case "upstream_stats":
-            return parse_task_sums(fields, known)
+            return parse_task_report(fields, known)
         case "client_stats":
-            return parse_route_sums(fields, known)
+            return parse_route_report(fields, known)
         case "attach":
             is_new = fields.get("new") == "1"
             return gp.ProxyJoined(
@@ -92,7 +92,7 @@
         case "detach":
             return gp.ProxyLeft(parse_count(fields["id"]))
         case "done":
-            return gp.Applied(
+            return gp.OrdersApplied(
                 parse_count(fields["id"]),
                 parse_count(fields["seq"]),
                 parse_milliseconds(fields.get("ms", "0")),
@@ -100,15 +100,15 @@
     raise ValueError("unknown message kind")
 
 
-def parse_task_sums(fields, known):
-    """Parses a collector's sums for one task."""
+def parse_task_report(fields, known):
+    """Parses a collector's report of one task."""
     tries, failures = parse_count(fields["count"]), parse_count(fields["fail"])
     if failures > tries:
         raise ValueError(f"{failures} failures in {tries} tries")
     latency = parse_number(fields["mean"] if failures < tries else fields.get("mean", "0")) * 10
     if (latency > 0) != (failures < tries):
         raise ValueError(f"mean latency {latency / 10:g} ms for {tries - failures} successful tries")
-    return gp.TaskSums(
+    return gp.TaskReport(
         fields["target"],
         parse_zone(fields["site"], known),
         tries,
@@ -119,10 +119,10 @@
     )
 
 
-def parse_route_sums(fields, known):
-    """Parses a proxy's sums for one route."""
+def parse_route_report(fields, known):
+    """Parses a proxy's report of one route."""
     # Failures may exceed calls: a call that arrived in an earlier period may fail in this one.
-    return gp.RouteSums(
+    return gp.RouteReport(
         parse_proxy(fields["id"], known),
         boot.lookup(known.routes, fields["lane"], "lane"),
         parse_count(fields["count"]),
--- a/garnetpaddle/net/order_codec.py
+++ b/garnetpaddle/net/order_codec.py
@@ -10,7 +10,7 @@
 RETRY_MODES = {"none": 0, "on proof": 1, "once": 2}
 MAX_CALL_BYTES = 60_000  # encoded orders in one request
 MARK_COUNT = 65_536  # wire marks are integers below this
-MAX_REMEMBERED_MARKS = 4_096  # latest marks sent, which an Applied event may still refer to
+MAX_REMEMBERED_MARKS = 4_096  # latest marks sent, which an OrdersApplied event may still refer to
 ERRORS_BEFORE_EXECUTION = frozenset({"limit", "malformed"})  # error codes of a request that was not executed
 MAX_COUNT_DIGITS = 9  # in the number of accepted orders
 SEPARATOR_BYTES = len("%3B")
@@ -56,26 +56,26 @@
         return mark
 
     def from_wire(self, event):
-        """An Applied event with the brain's mark; None if this process never sent the mark."""
+        """An OrdersApplied event with the brain's mark; None if this process never sent the mark."""
         if event.mark not in self.sent:
             return None
-        return gp.Applied(event.proxy, (event.mark - self.offset) % MARK_COUNT, event.elapsed)
+        return gp.OrdersApplied(event.proxy, (event.mark - self.offset) % MARK_COUNT, event.elapsed)
 
 
 def encode_order(order, routes, marks):
     """Encodes an order. routes: the route names by number; marks: a MarkTranslator."""
     match order:
-        case gp.SetLine():
+        case gp.SetWeight():
             return f"put,{order.table},{order.task},{order.weight!r}"
-        case gp.Bind():
+        case gp.BindProxy():
             return f"attach,{order.proxy},{order.table},*"
-        case gp.Withdraw():
-            return f"{'eject' if order.out else 'uneject'},{order.task}"
-        case gp.Admit():
+        case gp.WithdrawTask():
+            return f"{'eject' if order.withdrawn else 'uneject'},{order.task}"
+        case gp.SetAdmission():
             all_routes = len(order.routes) == len(routes)
             route_names = "*" if all_routes else "+".join(routes[k] for k in order.routes)
-            return f"gate,{order.table},{route_names},{order.level!r},{RETRY_MODES[order.tries]}"
-        case gp.Seal():
+            return f"gate,{order.table},{route_names},{order.level!r},{RETRY_MODES[order.retry_mode]}"
+        case gp.RequestAcknowledgement():
             return f"fence,{marks.to_wire(order.mark)},{int(order.all_proxies)}"
     raise TypeError(f"order has no encoding for the relay: {order!r}")
 
@@ -86,10 +86,10 @@
     A fence goes first: it covers its whole request, and nothing after an order that is not accepted is
     executed. If the batch needs several requests, the fence goes last and to all proxies; otherwise it would
     reach only the proxies that its own request reaches."""
-    fence_first = sorted(orders, key=lambda order: not isinstance(order, gp.Seal))
+    fence_first = sorted(orders, key=lambda order: not isinstance(order, gp.RequestAcknowledgement))
     encoded = [EncodedOrder(order, encode_order(order, routes, marks)) for order in fence_first]
     calls = list(split_by_size(encoded, limit))
-    if len(calls) > 1 and isinstance(fence_first[0], gp.Seal):
+    if len(calls) > 1 and isinstance(fence_first[0], gp.RequestAcknowledgement):
         fence = encoded[0]
         calls = list(split_by_size([*encoded[1:], EncodedOrder(fence.order, fence.text[:-1] + "1")], limit))
     return calls
@@ -114,7 +114,7 @@
 
     The fence is repeated, since a fence reaches only the proxies that its own request reaches, but not to
     all proxies: that would cost every proxy a message."""
-    fences = [encoded for encoded in call[:accepted] if isinstance(encoded.order, gp.Seal)]
+    fences = [encoded for encoded in call[:accepted] if isinstance(encoded.order, gp.RequestAcknowledgement)]
     remaining = call[accepted + 1 :]
     if not remaining:
         return []
--- a/garnetpaddle/net/prober.py
+++ b/garnetpaddle/net/prober.py
@@ -1,4 +1,4 @@
-"""Health checks of tasks: each Probe order results in exactly one ProbeAnswered event."""
+"""Health checks of tasks: each SendProbe order results in exactly one ProbeFinished event."""
 
 import asyncio
 import time
@@ -26,7 +26,7 @@
 
 
 class ProbeResult(NamedTuple):
-    """A probe's outcome, as in gp.ProbeAnswered, and the load that the task reported."""
+    """A probe's outcome, as in gp.ProbeFinished, and the load that the task reported."""
 
     outcome: str
     load: dict[str, float]
@@ -35,7 +35,7 @@
 class Prober:
     """Runs probes over persistent connections.
 
-    addresses: task_list_watch.TaskAddresses; publish: receives ProbeAnswered; reports: whether tasks report
+    addresses: task_list_watch.TaskAddresses; publish: receives ProbeFinished; reports: whether tasks report
     their load; capacity: the limit on concurrent probes and open connections together."""
 
     def __init__(self, addresses, publish, reports, capacity):
@@ -50,7 +50,7 @@
         task.add_done_callback(self.running.discard)
 
     async def probe(self, order):
-        """Executes one Probe order."""
+        """Executes one SendProbe order."""
         started_at = time.monotonic()
         result = ProbeResult("other", {})
         try:
@@ -58,7 +58,7 @@
                 result = ProbeResult("full", {})
             elif address := self.addresses.by_task.get(order.task):
                 result = await self.probe_target(
-                    Target(order.task, address), order.wait / TENTHS_OF_MS_PER_SECOND
+                    Target(order.task, address), order.timeout / TENTHS_OF_MS_PER_SECOND
                 )
             else:
                 result = ProbeResult("unreachable", {})
@@ -66,7 +66,7 @@
             log.exception("probe_failed", task=order.task)
         finally:
             elapsed = round((time.monotonic() - started_at) * TENTHS_OF_MS_PER_SECOND)
-            self.publish(gp.ProbeAnswered(order.task, elapsed, result.outcome, result.load))
+            self.publish(gp.ProbeFinished(order.task, elapsed, result.outcome, result.load))
 
     async def probe_target(self, target, timeout):
         """Probes a target. A broken reused connection is no sign of a failed task: retries on a new one."""
--- a/garnetpaddle/net/proxy_membership.py
+++ b/garnetpaddle/net/proxy_membership.py
@@ -13,7 +13,7 @@
         self.start_tracking()
 
     def start_tracking(self):
-        """Starts recording changes: proxies that rejoin or leave, and applied seals."""
+        """Starts recording changes: proxies that rejoin or leave, and acknowledgements."""
         self.changed, self.applied = {}, {}
 
     def record(self, event, tracking):
@@ -27,7 +27,7 @@
                 self.joined.pop(proxy, None)
                 if tracking:
                     self.changed[proxy] = True
-            case gp.Applied() if tracking:
+            case gp.OrdersApplied() if tracking:
                 self.applied[event.proxy, event.mark] = event
 
 
@@ -104,7 +104,7 @@
         view = self.current
         view.overlapping = previous.alive
         if not previous.alive:
-            self.publish(gp.OrdersInDoubt())
+            self.publish(gp.ChannelStateUnknown())
         if view.complete:
             self.remove_unlisted()
         for proxy, event in list(view.joined.items()):
--- a/garnetpaddle/net/serve.py
+++ b/garnetpaddle/net/serve.py
@@ -123,7 +123,7 @@
             if (relay_orders := front_ends.platform_orders(orders))
             else None
         )
-    decision_loop.publish(gp.ListHeard("stale", task_lines(config.known)))
+    decision_loop.publish(gp.TaskListReceived("stale", task_lines(config.known)))
 
     def move_relay(new_address):
         order_sender.move(new_address)
--- a/garnetpaddle/net/task_list_watch.py
+++ b/garnetpaddle/net/task_list_watch.py
@@ -124,10 +124,10 @@
 
 
 class TaskListWatch:
-    """Keeps a subscription to the task list and publishes it as gp.ListHeard.
+    """Keeps a subscription to the task list and publishes it as gp.TaskListReceived.
 
-    must_ask: a Watch order starts the subscription and a failure ends it; otherwise it is permanent.
-    generation: that of the last known list."""
+    must_ask: a SubscribeTaskList order starts the subscription and a failure ends it; otherwise it is
+    permanent. generation: that of the last known list."""
 
     def __init__(self, address, addresses, publish, must_ask, generation=0):
         self.agent, self.addresses, self.publish, self.must_ask = Agent(address), addresses, publish, must_ask
@@ -136,7 +136,7 @@
         self.subscribed, self.agent_replaced = asyncio.Event(), asyncio.Event()
 
     def subscribe(self):
-        """Handles a Watch order: the next list is published even if it is empty."""
+        """Handles a SubscribeTaskList order: the next list is published even if it is empty."""
         self.must_publish_next = True
         self.subscribed.set()
 
@@ -155,7 +155,7 @@
         try:
             while True:
                 if self.must_ask and not self.subscribed.is_set():
-                    result = None  # not subscribed: the next Watch order will poll the new agent
+                    result = None  # not subscribed: the next SubscribeTaskList order polls the new agent
                     break
                 result = await self.try_poll(agent)
                 attempts += 1
@@ -248,7 +248,7 @@
         if self.must_ask:
             self.subscribed.clear()
             self.must_publish_next = False
-            self.publish(gp.ListHeard("lost", ()))
+            self.publish(gp.TaskListReceived("lost", ()))
         else:
             await asyncio.sleep(BACKOFF[min(self.failures - 1, len(BACKOFF) - 1)])
 
@@ -263,4 +263,4 @@
         self.addresses.update(task_list)
         if response.lines or task_list.reset or self.must_publish_next:
             self.must_publish_next = False
-            self.publish(gp.ListHeard("full" if task_list.reset else "changes", response.lines))
+            self.publish(gp.TaskListReceived("full" if task_list.reset else "changes", response.lines))
--- a/garnetpaddle/rehearsal/events.py
+++ b/garnetpaddle/rehearsal/events.py
@@ -6,7 +6,7 @@
 from garnetpaddle import interface as gp
 
 COMPRESSION_LEVEL = 6  # above it files shrink little and simulations take longer
-TIMER_TYPES = (gp.TimerDue, gp.Timer)  # left out: they recur every 0.1 s and carry no information
+TIMER_TYPES = (gp.TimerExpired, gp.SetTimer)  # left out: they recur every 0.1 s and carry no information
 
 
 class Writer:
--- a/garnetpaddle/rehearsal/model/channel.py
+++ b/garnetpaddle/rehearsal/model/channel.py
@@ -39,7 +39,7 @@
 
     routes: tuple
     level: float
-    tries: str
+    retry_mode: str
 
 
 @dataclass(slots=True)
@@ -57,9 +57,10 @@
 
 class Channel:
     """rate: lines per second; message_overhead: lines that each message costs on top of its own; mean_delay:
-    in seconds, from sending to arrival. on_applied(proxy, mark, elapsed) is called for seals."""
+    in seconds, from sending to arrival. on_orders_applied(proxy, mark, elapsed) is called where an
+    acknowledgement was requested."""
 
-    def __init__(self, scheduler, proxies, rate, message_overhead, mean_delay, on_applied):
+    def __init__(self, scheduler, proxies, rate, message_overhead, mean_delay, on_orders_applied):
         self.scheduler, self.proxies, self.rate, self.message_overhead, self.mean_delay = (
             scheduler,
             proxies,
@@ -67,7 +68,7 @@
             message_overhead,
             mean_delay,
         )
-        self.on_applied, self.random = on_applied, scheduler.random_stream("channel")
+        self.on_orders_applied, self.random = on_orders_applied, scheduler.random_stream("channel")
         self.incarnation, self.longest_queue = 0, 0.0
         self.reset()
 
@@ -85,7 +86,7 @@
         """Sends the orders of one reply, in sequence."""
         messages, mark = {}, None  # proxy -> Message
         for order in orders:
-            if isinstance(order, gp.Seal):
+            if isinstance(order, gp.RequestAcknowledgement):
                 mark = order.mark
                 if order.all_proxies:
                     for number in self.joined_proxies():
@@ -104,28 +105,28 @@
             messages.setdefault(number, Message()).add(lines, change)
 
         match order:
-            case gp.SetLine(table=table, task=task, weight=weight):
+            case gp.SetWeight(table=table, task=task, weight=weight):
                 lines = self.tables.setdefault(table, {})
                 lines.pop(task, None)
                 lines |= {task: weight} if weight else {}
                 for number in self.bound_proxies(table):
                     add_change(number, 1, SetWeight(task, weight))
-            case gp.Bind(proxy=number, table=table):
+            case gp.BindProxy(proxy=number, table=table):
                 if self.proxies[number].joined:
                     self.table_by_proxy[number] = table
                     snapshot = self.table_snapshot(table)
                     cost = 1 + len(snapshot.lines) + len(snapshot.levels) + len(snapshot.withdrawn)
                     add_change(number, cost, snapshot)
-            case gp.Withdraw(task=task, out=out):
+            case gp.WithdrawTask(task=task, withdrawn=withdrawn):
                 self.withdrawn.pop(task, None)
-                self.withdrawn |= {task: True} if out else {}
+                self.withdrawn |= {task: True} if withdrawn else {}
                 for number in self.joined_proxies():
-                    add_change(number, 1, SetWithdrawn(task, out))
-            case gp.Admit(table=table, routes=routes, level=level, tries=tries):
+                    add_change(number, 1, SetWithdrawn(task, withdrawn))
+            case gp.SetAdmission(table=table, routes=routes, level=level, retry_mode=retry_mode):
                 for route in routes:
-                    self.levels.setdefault(table, {})[route] = level, tries
+                    self.levels.setdefault(table, {})[route] = level, retry_mode
                 for number in self.bound_proxies(table):
-                    add_change(number, 1, SetLevel(routes, level, tries))
+                    add_change(number, 1, SetLevel(routes, level, retry_mode))
 
     def table_snapshot(self, table):
         """The current content of a table."""
@@ -166,10 +167,10 @@
                     proxy.withdrawn[task] = True
                 case SetWithdrawn(task, False):
                     proxy.withdrawn.pop(task, None)
-                case SetLevel(routes, level, tries):
-                    proxy.levels |= dict.fromkeys(routes, (level, tries))
+                case SetLevel(routes, level, retry_mode):
+                    proxy.levels |= dict.fromkeys(routes, (level, retry_mode))
         if mark is not None:
-            self.on_applied(number, mark, self.scheduler.now - sent_at)
+            self.on_orders_applied(number, mark, self.scheduler.now - sent_at)
 
     def disconnect(self, number):
         """Forgets the binding of a proxy whose stream broke."""
--- a/garnetpaddle/rehearsal/simulation.py
+++ b/garnetpaddle/rehearsal/simulation.py
@@ -49,7 +49,7 @@
         self.add_proxies()
         delays = self.delays
         self.channel = Channel(
-            self.scheduler, self.proxies, delays.lines, delays.head, delays.channel, self.on_applied
+            self.scheduler, self.proxies, delays.lines, delays.head, delays.channel, self.on_orders_applied
         )
         self.load_generator = LoadGenerator(
             self.scheduler, script.clients, script.routes, self.proxies, self.length, self.result
@@ -94,39 +94,39 @@
 
     # The assigner
 
-    def terms(self):
-        """The terms under which the Brain decides, from the script."""
+    def parameters(self):
+        """The Brain's parameters, from the script."""
         delays, kinds = self.delays, self.script.kinds
-        return gp.Terms(
+        return gp.Parameters(
             routes=tuple(gp.Route(r.importance, tenths_of_ms(r.slo)) for r in self.script.routes),
             list_mode="push",
-            must_ask_in=100_000,
+            resubscribe_deadline=100_000,
             probes_allowed=True,
             warm_after=tenths_of_ms(max(k.warm_after for k in kinds)),
             start_share=min(k.start_share for k in kinds),
             fall_multiple=delays.fall_multiple,
-            gone_binds=True,
+            dropped_counts_as_gone=True,
             report_period=tenths_of_ms(delays.period),
             channel_lines=delays.lines,
             queue_limit=delays.queue_limit,
-            head_lines=delays.head,
+            message_overhead_lines=delays.head,
             message_cap=0,
-            message_span=100_000,
+            message_cap_period=100_000,
             level_kind="none",
             proxies=len(self.proxies),
-            strikes=delays.strikes,
+            failures_before_avoidance=delays.strikes,
             zones=len(self.script.zones),
         )
 
     def start_assigner(self):
         """Starts the assigner with the task list as last published."""
         self.incarnation += 1
-        self.brain = Brain(self.terms(), self.seed * SEEDS_PER_SIMULATION + self.incarnation)
+        self.brain = Brain(self.parameters(), self.seed * SEEDS_PER_SIMULATION + self.incarnation)
         self.pending_events = []
         lines = tuple(self.task_line(name) for name in self.listed_states)
         for name, listed in self.listed_states.items():
             self.rules.record_list_state(name, listed.state)
-        self.queue_event(gp.ListHeard("stale", lines))
+        self.queue_event(gp.TaskListReceived("stale", lines))
 
     def kill_assigner(self):
         """Kills the assigner with its channel, tables and timers; proxies keep their tables."""
@@ -156,15 +156,15 @@
             self.record(now, events, orders)
         for order in orders:
             match order:
-                case gp.Timer():
+                case gp.SetTimer():
                     self.scheduler.call_at(
-                        order.at - EPOCH, self.queue_event, gp.TimerDue(order.key), self.incarnation
+                        order.at - EPOCH, self.queue_event, gp.TimerExpired(order.key), self.incarnation
                     )
-                case gp.Note():
+                case gp.LogMessage():
                     self.result.log.append((now, order.text))
-                case gp.Probe():
+                case gp.SendProbe():
                     self.probe(order)
-                case gp.Watch():
+                case gp.SubscribeTaskList():
                     pass
                 case _:
                     reply.append(order)
@@ -172,10 +172,10 @@
         if reply:
             self.channel.send(reply)
 
-    def on_applied(self, number, mark, elapsed):
-        """Reports to the Brain that a proxy has applied a seal."""
+    def on_orders_applied(self, number, mark, elapsed):
+        """Reports to the Brain that a proxy has applied the orders up to a mark."""
         self.scheduler.call_later(
-            NETWORK_DELAY, self.queue_event, gp.Applied(number, mark, elapsed), self.incarnation
+            NETWORK_DELAY, self.queue_event, gp.OrdersApplied(number, mark, elapsed), self.incarnation
         )
 
     def probe(self, order):
@@ -186,13 +186,13 @@
         def answer(outcome, delay):
             load = {"in_hand": float(node.calls_in_hand())} if outcome == "ok" else {}
             elapsed = self.scheduler.now + delay - sent_at
-            event = gp.ProbeAnswered(order.task, elapsed, outcome, load)
+            event = gp.ProbeFinished(order.task, elapsed, outcome, load)
             self.scheduler.call_later(delay, self.queue_event, event, incarnation)
 
         if not node.up:
-            answer("unreachable", 2 * NETWORK_DELAY if not node.failed_cold else order.wait)
+            answer("unreachable", 2 * NETWORK_DELAY if not node.failed_cold else order.timeout)
         elif node.silent or node.paused:
-            answer("timeout", order.wait)
+            answer("timeout", order.timeout)
         elif node.errors and node.random.random() < max(node.errors.values()):
             answer("error", 2 * NETWORK_DELAY)
         else:
@@ -210,14 +210,14 @@
         """Changes a node's state in the task list and delivers the change."""
         started_at = started_at if started_at is not None else self.listed_states[name].started_at
         self.listed_states[name] = ListedState(state, started_at)
-        event = gp.ListHeard("changes", (self.task_line(name, state),))
+        event = gp.TaskListReceived("changes", (self.task_line(name, state),))
         self.deliver_list(event, [(name, state)])
 
     def publish_full_list(self, without=()):
         """Delivers the full list; without: names that it wrongly omits."""
         names = [k for k, listed in self.listed_states.items() if listed.state != "gone" and k not in without]
         states = [(k, "gone" if k in without else listed.state) for k, listed in self.listed_states.items()]
-        self.deliver_list(gp.ListHeard("full", tuple(self.task_line(k) for k in names)), states)
+        self.deliver_list(gp.TaskListReceived("full", tuple(self.task_line(k) for k in names)), states)
 
     def deliver_list(self, event, states):
         """Delivers a list event to the assigner after the list's delay, in order."""
@@ -269,7 +269,7 @@
         return self.join(number)
 
     def send_reports(self):
-        """Delivers the sums per task and zone and the proxies' route counts of the last period, after the
+        """Delivers the reports per task and zone and per proxy and route of the last period, after the
         reports' delay."""
         period, entries, events = tenths_of_ms(self.delays.period), {}, []
         for number, proxy in self.proxies.items():
@@ -283,14 +283,14 @@
                 entry[2] += node_sums.mean() * (node_sums.tries - node_sums.failures)
                 entry[3] = proxy.reported_loads.get(name, entry[3])
             events += [
-                gp.RouteSums(number, route, count.calls, count.unanswered, period)
+                gp.RouteReport(number, route, count.calls, count.unanswered, period)
                 for route, count in route_counts.items()
                 if count.calls
             ]
         for (name, zone), (tries, failures, total, calls_in_hand) in entries.items():
             mean = total / (tries - failures) if tries > failures else 0.0
             events.append(
-                gp.TaskSums(name, zone, tries, failures, mean, period, {"in_hand": float(calls_in_hand)})
+                gp.TaskReport(name, zone, tries, failures, mean, period, {"in_hand": float(calls_in_hand)})
             )
         delay = tenths_of_ms(self.delays.reports) + tenths_of_ms(
             sum(self.fault_injector.report_delays.values())
--- a/garnetpaddle/state.py
+++ b/garnetpaddle/state.py
@@ -66,7 +66,9 @@
 
 
 class Proxy:
-    """A proxy, or with `external` a follower outside the channel. `fresh`: it holds no ordered table.
+    """A proxy, or with `external` a follower outside the channel.
+
+    has_only_default_table: it holds no table that was ordered.
 
     An external follower gets the same lines. It sends no reports, its messages and acknowledgements do not
     count in the channel's queue, and no adjustment waits for its acknowledgement, so it may stall.
@@ -75,9 +77,9 @@
     def __init__(self, now, joined, previous):
         self.id = joined.proxy
         self.joined_at = now
-        self.rate = max(0.1, joined.rate)
-        self.fresh = joined.fresh
-        self.external = joined.aside
+        self.call_rate = max(0.1, joined.call_rate)
+        self.has_only_default_table = joined.has_only_default_table
+        self.external = joined.external
         self.bound = False  # None where that is in doubt
         self.table = None
         # The times of messages, and the lines of each unacknowledged mark. They are kept when a proxy joins
@@ -108,11 +110,11 @@
         """bound: True, to the table; None, perhaps, which counts as its user too; False, to no table."""
         if self.table:
             self.table.channel_proxies.pop(self.id, None)
-            self.table.call_rate -= 0.0 if self.external else self.rate
+            self.table.call_rate -= 0.0 if self.external else self.call_rate
         self.bound = bound
         self.table = None if bound is False else table
         if self.table:
-            self.table.call_rate += 0.0 if self.external else self.rate
+            self.table.call_rate += 0.0 if self.external else self.call_rate
             if not self.external:
                 self.table.channel_proxies[self.id] = self
 
@@ -151,8 +153,8 @@
     def expect(self, proxies, mark, complete):
         """Adds proxies to wait for; once the push is complete, later messages are not waited for."""
         for proxy in proxies if not self.complete else ():
-            self.pending_calls += proxy.rate - self.pending.get(proxy.id, (0, 0.0))[1]
-            self.pending[proxy.id] = mark, proxy.rate
+            self.pending_calls += proxy.call_rate - self.pending.get(proxy.id, (0, 0.0))[1]
+            self.pending[proxy.id] = mark, proxy.call_rate
         self.complete = self.complete or complete
         return self
 
--- a/garnetpaddle/wirehost/translate.py
+++ b/garnetpaddle/wirehost/translate.py
@@ -5,7 +5,7 @@
 from garnetpaddle.wirehost import wire
 
 STATES = {"on": "ready", "fading": "draining", "off": "gone"}
-FORMS = {"incr": "changes", "total": "full", "warm_copy": "stale", "lost": "lost"}
+UPDATE_TYPES = {"incr": "changes", "total": "full", "warm_copy": "stale", "lost": "lost"}
 OUTCOMES = {
     "OK": "ok",
     "INTERNAL": "error",
@@ -15,7 +15,7 @@
     "ABORTED": "reset",
 }
 LOADS = {"concurrent": "in_hand", "depth": "queued", "load_share": "busy", "mean_ms": "service_ms"}
-TRIES = {"none": 0, "on proof": 1, "once": 2}
+RETRY_MODES = {"none": 0, "on proof": 1, "once": 2}
 
 
 def task_lines(entries):
@@ -38,15 +38,15 @@
     """The interface's event for a message, or None for a message that the Brain does not need."""
     match message:
         case wire.Endpoints():
-            form = lookup(FORMS, message.form, "form")
-            if form != "lost" and message.bank not in task_lists:
+            update_type = lookup(UPDATE_TYPES, message.form, "form")
+            if update_type != "lost" and message.bank not in task_lists:
                 raise UnknownValue("bank", message.bank)
-            return gp.ListHeard(form, () if form == "lost" else task_lists[message.bank])
+            return gp.TaskListReceived(update_type, () if update_type == "lost" else task_lists[message.bank])
         case wire.DeadlineHit():
-            return gp.TimerDue(message.key_back)
+            return gp.TimerExpired(message.key_back)
         case wire.Probed():
             outcome = OUTCOMES.get(message.verdict, "other")
-            return gp.ProbeAnswered(
+            return gp.ProbeFinished(
                 message.task, tenths(message.cost_time), outcome, normalize_load(message.usage, LOADS)
             )
         case wire.Connected():
@@ -57,7 +57,7 @@
             return gp.ProxyLeft(message.forwarder)
         case wire.TrafficReport():
             latency = (message.cost_time or 0.0) * 10_000
-            return gp.TaskSums(
+            return gp.TaskReport(
                 message.task,
                 message.az or "",
                 message.tries_n,
@@ -67,7 +67,7 @@
                 normalize_load(message.usage, LOADS),
             )
         case wire.Demand():
-            return gp.RouteSums(
+            return gp.RouteReport(
                 message.forwarder,
                 lookup(routes, message.band, "band"),
                 message.tries_n,
@@ -75,14 +75,14 @@
                 tenths(message.span),
             )
         case wire.Installed():
-            return gp.Applied(message.forwarder, message.gen, tenths(message.cost_time))
+            return gp.OrdersApplied(message.forwarder, message.gen, tenths(message.cost_time))
     return None
 
 
 def order_message(instance, order):
     """The message for an order."""
     match order:
-        case gp.SetLine():
+        case gp.SetWeight():
             return {
                 "msg": "SET_LINE",
                 "i": instance,
@@ -90,29 +90,29 @@
                 "size": order.weight,
                 "sheet": order.table,
             }
-        case gp.Bind():
+        case gp.BindProxy():
             return {"msg": "BIND", "i": instance, "forwarder": order.proxy, "sheet": order.table, "lanes": 0}
-        case gp.Withdraw():
-            return {"msg": "TAKE_OUT", "i": instance, "task": order.task, "flag": order.out}
-        case gp.Admit():
+        case gp.WithdrawTask():
+            return {"msg": "TAKE_OUT", "i": instance, "task": order.task, "flag": order.withdrawn}
+        case gp.SetAdmission():
             lanes = sum(1 << k for k in order.routes)
-            tries = TRIES[order.tries]
+            retry_mode = RETRY_MODES[order.retry_mode]
             return {
                 "msg": "ADMIT",
                 "i": instance,
                 "sheet": order.table,
                 "lanes": lanes,
                 "level": order.level,
-                "retry_mode": tries,
+                "retry_mode": retry_mode,
             }
-        case gp.Seal():
+        case gp.RequestAcknowledgement():
             return {"msg": "SEAL", "i": instance, "gen": order.mark, "flag": order.all_proxies}
-        case gp.Probe():
+        case gp.SendProbe():
             return {"msg": "PROBE", "i": instance, "task": order.task}
-        case gp.Watch():
+        case gp.SubscribeTaskList():
             return {"msg": "KEEP_INFORMED", "i": instance, "flag": True}
-        case gp.Timer():
+        case gp.SetTimer():
             return {"msg": "ARM", "i": instance, "fire_at": order.at / 10_000, "key_back": order.key}
-        case gp.Note():
+        case gp.LogMessage():
             return {"msg": "PRINT", "i": instance, "text": order.text}
     raise TypeError(f"order has no message: {order!r}")
--- a/garnetpaddle/wirehost/wire.py
+++ b/garnetpaddle/wirehost/wire.py
@@ -103,7 +103,7 @@
 
 
 class TrafficReport(ForInstance, tag="TRAFFIC_REPORT"):
-    """A collector's sums for a task."""
+    """A collector's report of a task."""
 
     task: str
     tries_n: int
@@ -115,7 +115,7 @@
 
 
 class Demand(ForInstance, tag="DEMAND"):
-    """A proxy's sums for a route."""
+    """A proxy's report of a route."""
 
     forwarder: int
     band: str
--- a/tests/front_end_harness.py
+++ b/tests/front_end_harness.py
@@ -73,7 +73,7 @@
         if not restarted:
             self.front_ends.registry.leases.started_at = -1_000_000
         self.front_ends.follow(
-            self.now, [gp.ListHeard("full", tuple(line(t) for t in tasks))], self.all_orders
+            self.now, [gp.TaskListReceived("full", tuple(line(t) for t in tasks))], self.all_orders
         )
 
     def hear(self, *events):
@@ -81,19 +81,19 @@
         self.follower_events.clear()
         super().hear(*events)
         self.all_orders = [*getattr(self, "all_orders", []), *self.last] if not self.front_ends else []
-        ours = gp.Timer | gp.Note | gp.Probe
+        ours = gp.SetTimer | gp.LogMessage | gp.SendProbe
         self.platform_replies.append(
             FrontEnds.platform_orders([o for o in self.last if not isinstance(o, ours)])
         )
         for order in self.last:
             match order:
-                case gp.SetLine():
+                case gp.SetWeight():
                     if order.table != self.native_table:
                         self.native_table, self.native_weights = order.table, {}
                     self.native_weights.pop(order.task, None)
                     self.native_weights |= {order.task: order.weight} if order.weight else {}
-                case gp.Withdraw():
-                    self.withdrawn_tasks[order.task] = order.out
+                case gp.WithdrawTask():
+                    self.withdrawn_tasks[order.task] = order.withdrawn
         if self.front_ends:
             self.front_ends.follow(self.now, events, self.last)
 
--- a/tests/helper.py
+++ b/tests/helper.py
@@ -11,23 +11,23 @@
 from garnetpaddle.brain import Brain
 
 TRACES = pathlib.Path(__file__).parent / "traces"
-TERMS = gp.Terms(
+TERMS = gp.Parameters(
     routes=(gp.Route(1, 12_000), gp.Route(2, 15_000), gp.Route(5, 20_000)),
     list_mode="push",
-    must_ask_in=100_000,
+    resubscribe_deadline=100_000,
     probes_allowed=True,
     warm_after=150_000,
     start_share=0.2,
     fall_multiple=3.0,
-    gone_binds=True,
+    dropped_counts_as_gone=True,
     report_period=10_000,
     channel_lines=2_000.0,
     queue_limit=4_000.0,
-    head_lines=6.0,
+    message_overhead_lines=6.0,
     message_cap=0,
-    message_span=100_000,
+    message_cap_period=100_000,
     level_kind="none",
-    strikes=3,
+    failures_before_avoidance=3,
 )
 
 
@@ -36,7 +36,7 @@
 
 
 def changes(*lines):
-    return gp.ListHeard("changes", lines)
+    return gp.TaskListReceived("changes", lines)
 
 
 def matches(name, trace):
@@ -113,35 +113,35 @@
         self.brain, self.now, self.trace, self.coming = Brain(self.terms, 7), 0, [], []
         self.sums = {t: (10, 0, 200) for t in tasks}  # tries, failures, ms: what each report says of a task
         self.load, self.probes, self.report_at, self.applies = {}, {}, 10_000, applies
-        self.hear(gp.ListHeard("stale", tuple(line(t) for t in tasks)))
+        self.hear(gp.TaskListReceived("stale", tuple(line(t) for t in tasks)))
         self.hear(*(gp.ProxyJoined(p, 20.0, True, "z") for p in range(proxies)))
 
     def hear(self, *events):
         shown = []
         self.last = orders = self.brain.handle(self.now, events)
-        to_all = any(isinstance(o, gp.SetLine | gp.Admit) for o in orders)
-        reached = self.brain.proxies if to_all else [o.proxy for o in orders if isinstance(o, gp.Bind)]
+        to_all = any(isinstance(o, gp.SetWeight | gp.SetAdmission) for o in orders)
+        reached = self.brain.proxies if to_all else [o.proxy for o in orders if isinstance(o, gp.BindProxy)]
         reached = [p for p in reached if not self.brain.proxies[p].external]
         for o in orders:
             match o:
-                case gp.SetLine():
+                case gp.SetWeight():
                     shown.append(f"{o.task}={o.weight:g}")
-                case gp.Bind():
+                case gp.BindProxy():
                     shown.append(f"bind {o.proxy}")
-                case gp.Withdraw():
-                    shown.append(f"{'withdraw' if o.out else 'let back'} {o.task}")
-                case gp.Admit():
-                    shown.append(f"admit {o.routes} {o.level:g}, tries {o.tries}")
-                case gp.Watch():
+                case gp.WithdrawTask():
+                    shown.append(f"{'withdraw' if o.withdrawn else 'let back'} {o.task}")
+                case gp.SetAdmission():
+                    shown.append(f"admit {o.routes} {o.level:g}, tries {o.retry_mode}")
+                case gp.SubscribeTaskList():
                     shown.append("watch")
-                case gp.Note():
+                case gp.LogMessage():
                     shown.append(f'"{o.text}"')
-                case gp.Seal() if self.applies:
+                case gp.RequestAcknowledgement() if self.applies:
                     asked = self.brain.channel_proxies if o.all_proxies else reached
-                    self.coming += [(self.now + 3_000, gp.Applied(p, o.mark, 3_000)) for p in asked]
-                case gp.Probe():
+                    self.coming += [(self.now + 3_000, gp.OrdersApplied(p, o.mark, 3_000)) for p in asked]
+                case gp.SendProbe():
                     outcome = self.probes.get(o.task, "ok")
-                    self.coming.append((self.now + 500, gp.ProbeAnswered(o.task, 500, outcome, {})))
+                    self.coming.append((self.now + 500, gp.ProbeFinished(o.task, 500, outcome, {})))
         if shown:
             self.trace.append(f"{self.now / 10_000:5.1f}  " + ", ".join(shown))
 
@@ -154,7 +154,7 @@
             if self.now >= self.report_at:
                 self.report_at += 10_000
                 for task, (tries, failures, ms) in self.sums.items():
-                    events.append(gp.TaskSums(task, "z", tries, failures, ms * 10.0, 10_000, self.load))
+                    events.append(gp.TaskReport(task, "z", tries, failures, ms * 10.0, 10_000, self.load))
             self.hear(*events)
 
     def lose(self, perhaps):
--- a/tests/test_advice.py
+++ b/tests/test_advice.py
@@ -79,7 +79,7 @@
         addresses = {k: ("127.0.0.1", n) for n, k in enumerate(tasks, 1)}
         self.members = {k: Member(k.encode(), addresses[k], k) for k in tasks}
         self.last_sent = {}
-        self.apply_batch([gp.ListHeard("full", tuple(map(line, tasks)))], [], addresses)
+        self.apply_batch([gp.TaskListReceived("full", tuple(map(line, tasks)))], [], addresses)
 
     def apply_batch(self, events=(), orders=(), addresses=None):
         self.now += 10
@@ -107,28 +107,28 @@
 def test_member_weights_of_a_group():
     advice = AdviceTrace()
     advice.record_step("task list known, no table bound")
-    advice.apply_batch([], [gp.Bind(FIRST_FOLLOWER_NUMBER, 1)])
+    advice.apply_batch([], [gp.BindProxy(FIRST_FOLLOWER_NUMBER, 1)])
     advice.record_step("bound to a table without any weight")
-    advice.apply_batch([], [gp.SetLine(1, "a", 1.0), gp.SetLine(1, "b", 0.5), gp.SetLine(1, "c", 1.5)])
+    advice.apply_batch([], [gp.SetWeight(1, "a", 1.0), gp.SetWeight(1, "b", 0.5), gp.SetWeight(1, "c", 1.5)])
     advice.record_step("table of this process, not adjusted yet")
-    advice.apply_batch([], [gp.SetLine(1, "a", 1.2), gp.SetLine(1, "b", 0.4)])
+    advice.apply_batch([], [gp.SetWeight(1, "a", 1.2), gp.SetWeight(1, "b", 0.4)])
     advice.record_step("weights adjusted")
     advice.apply_batch([changes(line("b", "draining"))])
     advice.record_step("b drains, no order for it yet")
-    advice.apply_batch([], [gp.SetLine(1, "c", 0.0)])
+    advice.apply_batch([], [gp.SetWeight(1, "c", 0.0)])
     advice.record_step("c is removed from the table")
-    advice.apply_batch([gp.OrdersInDoubt()], [])
+    advice.apply_batch([gp.ChannelStateUnknown()], [])
     advice.record_step("all orders in doubt: last advice stands")
     advice.apply_batch([changes(line("a", "gone"))])
     advice.record_step("a is gone meanwhile")
-    advice.apply_batch([], [gp.SetLine(2, "c", 1.0), gp.Bind(FIRST_FOLLOWER_NUMBER, 2)])
+    advice.apply_batch([], [gp.SetWeight(2, "c", 1.0), gp.BindProxy(FIRST_FOLLOWER_NUMBER, 2)])
     advice.record_step("bound to a new table")
-    advice.apply_batch([changes(line("a", started=99.0))], [gp.SetLine(2, "a", 0.012)])
+    advice.apply_batch([changes(line("a", started=99.0))], [gp.SetWeight(2, "a", 0.012)])
     advice.record_step("a has restarted and is cold")
     advice.record_step("no call of the route is admitted", admitted=False)
     advice.members["c"] = dataclasses.replace(advice.members["c"], quiesced=True)
     advice.record_step("c quiesces itself")
-    advice.apply_batch([], [gp.SetLine(2, "a", 0.0), gp.SetLine(2, "c", 0.0), gp.SetLine(2, "z", 1.0)])
+    advice.apply_batch([], [gp.SetWeight(2, "a", 0.0), gp.SetWeight(2, "c", 0.0), gp.SetWeight(2, "z", 1.0)])
     advice.record_step("no weight in the group: a cold, c quiesced")
     advice.members["c"] = dataclasses.replace(advice.members["c"], quiesced=False)
     advice.record_step("c ready and warm: sent as last resort")
@@ -137,12 +137,12 @@
 
 def test_forgotten_task_is_replaced_by_the_next_task_at_its_address():
     advice = AdviceTrace("a")
-    advice.apply_batch([], [gp.SetLine(1, "a", 1.0), gp.Bind(FIRST_FOLLOWER_NUMBER, 1)])
+    advice.apply_batch([], [gp.SetWeight(1, "a", 1.0), gp.BindProxy(FIRST_FOLLOWER_NUMBER, 1)])
     advice.record_step("a has a weight")
-    advice.apply_batch([changes(line("a", "gone"))], [gp.SetLine(1, "a", 0.0)])
+    advice.apply_batch([changes(line("a", "gone"))], [gp.SetWeight(1, "a", 0.0)])
     advice.record_step("a is gone")
     advice.now += 6_000_000
-    advice.apply_batch([changes(line("n"))], [gp.SetLine(1, "n", 1.0)], {"n": ("127.0.0.1", 1)})
+    advice.apply_batch([changes(line("n"))], [gp.SetWeight(1, "n", 1.0)], {"n": ("127.0.0.1", 1)})
     advice.apply_batch()
     advice.record_step("ten minutes later n listens there")
     assert advice.trace[-1].endswith("a=10000 unsure")
@@ -244,7 +244,7 @@
             else [
                 type(event).__name__
                 + f" {event.proxy}"
-                + (" fresh" if getattr(event, "fresh", False) else "")
+                + (" fresh" if getattr(event, "has_only_default_table", False) else "")
                 for event in result
             ]
         )
--- a/tests/test_book.py
+++ b/tests/test_book.py
@@ -31,55 +31,59 @@
         return snapshot
 
 
-LINE_A, LINE_B = gp.SetLine(1, "a", 1.0), gp.SetLine(1, "b", 2.0)
-READY = gp.ListHeard("full", (line("a"), line("b")))
+LINE_A, LINE_B = gp.SetWeight(1, "a", 1.0), gp.SetWeight(1, "b", 2.0)
+READY = gp.TaskListReceived("full", (line("a"), line("b")))
 
 
 def test_orders_lost_and_in_doubt():
     recorder = BuilderTrace()
-    recorder.step("task list, two lines, a bind", [READY], [LINE_A, LINE_B, gp.Bind(1, 1)])
-    order = gp.SetLine(1, "a", 3.0)
+    recorder.step("task list, two lines, a bind", [READY], [LINE_A, LINE_B, gp.BindProxy(1, 1)])
+    order = gp.SetWeight(1, "a", 3.0)
     recorder.step("weight 3 ordered for a", [], [order])
     recorder.step("that order was not executed", [gp.OrdersLost((order,), False)])
     recorder.step("ordered again", [], [order])
     recorder.step("that order may have been executed", [gp.OrdersLost((order,), True)])
     recorder.step("ordered again, after the doubt", [], [order])
-    gone = gp.SetLine(1, "b", 0.0)
+    gone = gp.SetWeight(1, "b", 0.0)
     recorder.step("removal of b's line", [], [gone])
     recorder.step("the removal may not have been executed", [gp.OrdersLost((gone,), True)])
     recorder.step("it was not executed: b stays removed", [gp.OrdersLost((gone,), False)])
-    new = gp.SetLine(1, "c", 1.0)
+    new = gp.SetWeight(1, "c", 1.0)
     recorder.step("new line for c", [changes(line("c"))], [new])
     recorder.step("it is in doubt: never in effect", [gp.OrdersLost((new,), True)])
-    first, second = gp.SetLine(1, "a", 4.0), gp.SetLine(1, "a", 5.0)
+    first, second = gp.SetWeight(1, "a", 4.0), gp.SetWeight(1, "a", 5.0)
     recorder.step("two orders of one line", [], [first, second])
     recorder.step(
         "both are lost, in sequence", [gp.OrdersLost((first,), True), gp.OrdersLost((second,), False)]
     )
-    recorder.step("all orders are in doubt", [gp.OrdersInDoubt()])
-    recorder.step("a new table, and a bind to it", [], [gp.SetLine(2, "a", 1.5), gp.Bind(1, 2)])
+    recorder.step("all orders are in doubt", [gp.ChannelStateUnknown()])
+    recorder.step("a new table, and a bind to it", [], [gp.SetWeight(2, "a", 1.5), gp.BindProxy(1, 2)])
     matches("book_lost", recorder.trace)
 
 
 def test_tasks_that_leave_the_list_are_in_no_table():
     recorder = BuilderTrace()
-    recorder.step("two lines", [READY], [LINE_A, LINE_B, gp.Bind(1, 1)])
+    recorder.step("two lines", [READY], [LINE_A, LINE_B, gp.BindProxy(1, 1)])
     snapshot = recorder.step("a drains, before any order for it", [changes(line("a", "draining"))])
     assert snapshot.closed == {"a": 20}
     recorder.step("the list drops a: it stays draining", [changes(line("a", "gone"))])
     recorder.step("a starts anew", [changes(line("a", started=5.0))])
-    recorder.step("a full list without b", [gp.ListHeard("full", (line("a", started=5.0),))])
-    recorder.step("b is withdrawn and let back", [], [gp.Withdraw("b", True), gp.Withdraw("b", False)])
-    recorder.step("a is withdrawn", [], [gp.Withdraw("a", True)])
-    recorder.step("that order is lost: a stays withdrawn", [gp.OrdersLost((gp.Withdraw("a", True),), True)])
+    recorder.step("a full list without b", [gp.TaskListReceived("full", (line("a", started=5.0),))])
+    recorder.step(
+        "b is withdrawn and let back", [], [gp.WithdrawTask("b", True), gp.WithdrawTask("b", False)]
+    )
+    recorder.step("a is withdrawn", [], [gp.WithdrawTask("a", True)])
+    recorder.step(
+        "that order is lost: a stays withdrawn", [gp.OrdersLost((gp.WithdrawTask("a", True),), True)]
+    )
     recorder.step("the proxy leaves", [gp.ProxyLeft(1)])
     matches("book_list", recorder.trace)
 
 
 def test_a_drop_from_the_list_is_ignored_where_it_does_not_bind():
-    recorder = BuilderTrace(gone_binds=False)
-    recorder.step("two lines", [READY], [LINE_A, LINE_B, gp.Bind(1, 1)])
-    snapshot = recorder.step("the list drops both", [gp.ListHeard("full", ())])
+    recorder = BuilderTrace(dropped_counts_as_gone=False)
+    recorder.step("two lines", [READY], [LINE_A, LINE_B, gp.BindProxy(1, 1)])
+    snapshot = recorder.step("the list drops both", [gp.TaskListReceived("full", ())])
     assert not snapshot.closed and snapshot.usable_lines(1) == {"a": 1.0, "b": 2.0}
     snapshot = recorder.step("one drains", [changes(line("a", "draining"))])
     assert list(snapshot.closed) == ["a"]
@@ -87,28 +91,30 @@
 
 def test_unconfirmed_levels_count_as_the_lower_one_without_retries():
     builder = SnapshotBuilder()
-    builder.update(0, [READY], [LINE_A, gp.Admit(1, (0, 1), 0.9, "on proof")])
-    lost = gp.Admit(1, (1,), 0.4, "on proof")
+    builder.update(0, [READY], [LINE_A, gp.SetAdmission(1, (0, 1), 0.9, "on proof")])
+    lost = gp.SetAdmission(1, (1,), 0.4, "on proof")
     builder.update(1, [], [lost])
     levels = builder.update(2, [gp.OrdersLost((lost,), True)], []).tables[1].levels
     assert [(k, v.part, v.tries) for k, v in levels.items()] == [(0, 0.9, "on proof"), (1, 0.4, "none")]
-    raised = gp.Admit(1, (0,), 1.0, "once")
+    raised = gp.SetAdmission(1, (0,), 1.0, "once")
     builder.update(3, [], [raised])
     assert builder.update(4, [gp.OrdersLost((raised,), False)], []).tables[1].level(0).part == 0.9
 
 
 def test_a_snapshot_is_the_same_object_until_something_changes():
     builder = SnapshotBuilder()
-    first = builder.update(0, [READY], [LINE_A, gp.Bind(1, 1)], {"a": ("127.0.0.1", 5), "b": ("::0:1", 6)})
-    same = builder.update(9, [READY, gp.ProxyLeft(7), gp.TimerDue("beat")], [gp.Probe("a", 5)])
+    first = builder.update(
+        0, [READY], [LINE_A, gp.BindProxy(1, 1)], {"a": ("127.0.0.1", 5), "b": ("::0:1", 6)}
+    )
+    same = builder.update(9, [READY, gp.ProxyLeft(7), gp.TimerExpired("beat")], [gp.SendProbe("a", 5)])
     assert same is first and first.tasks_by_address == {("127.0.0.1", 5): "a", ("::1", 6): "b"}
-    assert builder.update(10, [], [gp.Seal(5, False)]).mark == 5
+    assert builder.update(10, [], [gp.RequestAcknowledgement(5, False)]).mark == 5
 
 
 def test_closed_tasks_and_their_lines_are_removed_after_the_retention_time():
     builder = SnapshotBuilder()
     builder.update(0, [READY], [LINE_A, LINE_B], {"a": ("127.0.0.1", 5)})
-    builder.update(1, [changes(line("a", "draining"))], [gp.SetLine(1, "a", 0.0)])
+    builder.update(1, [changes(line("a", "draining"))], [gp.SetWeight(1, "a", 0.0)])
     assert "a" in builder.update(CLOSED_TASK_RETENTION, [], []).tasks
     snapshot = builder.update(CLOSED_TASK_RETENTION + 1, [], [])
     assert (
@@ -117,9 +123,9 @@
 
 
 ORDERS = st.one_of(
-    st.builds(gp.SetLine, st.integers(1, 2), st.sampled_from("abc"), st.sampled_from([0.0, 0.5, 1.0, 2.0])),
-    st.builds(gp.Bind, st.integers(0, 2), st.integers(1, 2)),
-    st.builds(gp.Withdraw, st.sampled_from("abc"), st.booleans()),
+    st.builds(gp.SetWeight, st.integers(1, 2), st.sampled_from("abc"), st.sampled_from([0.0, 0.5, 1.0, 2.0])),
+    st.builds(gp.BindProxy, st.integers(0, 2), st.integers(1, 2)),
+    st.builds(gp.WithdrawTask, st.sampled_from("abc"), st.booleans()),
 )
 
 
@@ -127,17 +133,17 @@
 @given(st.lists(st.lists(ORDERS, max_size=6), max_size=12))
 def test_without_losses_snapshots_match_the_tables_of_the_relay(replies):
     builder, tables, bound, withdrawn = SnapshotBuilder(), {}, {}, set()
-    builder.update(0, [gp.ListHeard("full", tuple(map(line, "abc")))], [])
+    builder.update(0, [gp.TaskListReceived("full", tuple(map(line, "abc")))], [])
     for orders in replies:
         snapshot = builder.update(1, [], orders)
         for o in orders:
             match o:
-                case gp.SetLine():
+                case gp.SetWeight():
                     tables.setdefault(o.table, {})[o.task] = o.weight
-                case gp.Bind():
+                case gp.BindProxy():
                     bound[o.proxy] = o.table
-                case gp.Withdraw():
-                    (withdrawn.add if o.out else withdrawn.discard)(o.task)
+                case gp.WithdrawTask():
+                    (withdrawn.add if o.withdrawn else withdrawn.discard)(o.task)
         for proxy, number in bound.items():
             expected = {
                 k: recorder
@@ -149,13 +155,13 @@
 
 def test_a_large_fleet_in_several_tables():
     builder, tasks = SnapshotBuilder(), [f"t{k}" for k in range(120)]
-    orders = [gp.SetLine(n, k, 1.0 + n) for n in range(1, 5) for k in tasks]
-    orders += [gp.Bind(p, 1 + p % 4) for p in range(400)]
-    snapshot = builder.update(0, [gp.ListHeard("full", tuple(map(line, tasks)))], orders)
+    orders = [gp.SetWeight(n, k, 1.0 + n) for n in range(1, 5) for k in tasks]
+    orders += [gp.BindProxy(p, 1 + p % 4) for p in range(400)]
+    snapshot = builder.update(0, [gp.TaskListReceived("full", tuple(map(line, tasks)))], orders)
     assert len(snapshot.tables) == 4 and all(len(snapshot.usable_lines(p)) == 120 for p in range(400))
     # Once all proxies are bound to a new table, the old tables are removed.
-    orders = [gp.SetLine(5, "t0", 1.0)] + [gp.Bind(p, 5) for p in range(400)]
-    later = builder.update(1, [gp.OrdersInDoubt()], orders)
+    orders = [gp.SetWeight(5, "t0", 1.0)] + [gp.BindProxy(p, 5) for p in range(400)]
+    later = builder.update(1, [gp.ChannelStateUnknown()], orders)
     assert list(later.tables) == [5] and snapshot.usable_lines(399)["t7"] == 5.0
 
 
--- a/tests/test_brain.py
+++ b/tests/test_brain.py
@@ -25,7 +25,7 @@
     play.sums["a"] = (10, 0, 400)
     play.say("no proxy says that it has applied its table: no step")
     play.run(8)
-    play.hear(*(gp.Applied(p, play.brain.mark, 0) for p in play.brain.proxies))
+    play.hear(*(gp.OrdersApplied(p, play.brain.mark, 0) for p in play.brain.proxies))
     play.say("applied, but the reports now come 6 s late")
     play.report_at = 160_000
     play.run(15)
@@ -78,10 +78,10 @@
     play = Play()
     play.run(3)
     play.hear(changes(line("b", started=2.9)))
-    play.hear(*[gp.ProbeAnswered("b", 5_000, "timeout", {})] * 3)
+    play.hear(*[gp.ProbeFinished("b", 5_000, "timeout", {})] * 3)
     play.say(f"doubt {play.brain.tasks['b'].fault_evidence:.2f}")
     play.now += 6_000
-    play.hear(gp.ProbeAnswered("b", 5_000, "timeout", {}))
+    play.hear(gp.ProbeFinished("b", 5_000, "timeout", {}))
     play.say(f"doubt {play.brain.tasks['b'].fault_evidence:.2f}")
     assert play.trace[-2:] == ["       -- doubt 0.00", "       -- doubt 3.22"]
 
@@ -119,7 +119,7 @@
 
 
 def test_cold_tasks_carry_on_where_proxies_avoid_none():
-    play = Play(strikes=0)
+    play = Play(failures_before_avoidance=0)
     play.sums = {t: (20, 9, 900) for t in "abcd"}
     play.run(8)
     play.hear(changes(line("e", started=7.5)))
@@ -199,7 +199,7 @@
     """A level of 1 is all of a share, and one call a second at each proxy where settings make it a rate."""
     shown = {}
     for kind in ("per_second", "fraction", "none"):
-        play = Play(level_kind=kind, tries="once")
+        play = Play(level_kind=kind, default_retry_mode="once")
         play.sums = dict.fromkeys("abcd", (10, 5, 200))
         play.run(6)
         shown[kind] = [line[7:] for line in play.trace if "admit" in line]
@@ -253,7 +253,7 @@
     play = Play(proxies=3)
     play.run(1)
     play.hear(*(gp.ProxyLeft(p) for p in range(3)))
-    play.hear(gp.ProxyLeft(9), gp.Applied(1, 1, 0), gp.RouteSums(1, 0, 5, 0, 10_000))
+    play.hear(gp.ProxyLeft(9), gp.OrdersApplied(1, 1, 0), gp.RouteReport(1, 0, 5, 0, 10_000))
     play.now += 200_000
     play.hear(*(gp.ProxyJoined(p, 20.0, False, "z") for p in range(3)))
     play.say("proxy 1 joins again though it never left; then one joins just as a step moves nothing")
@@ -278,9 +278,9 @@
 
 
 def test_asks_again_for_a_lost_list_with_growing_spread_waits():
-    play = Play(list_mode="ask", must_ask_in=100_000)
+    play = Play(list_mode="ask", resubscribe_deadline=100_000)
     for _ in range(4):
-        play.hear(gp.ListHeard("lost", ()))
+        play.hear(gp.TaskListReceived("lost", ()))
         play.run(3)
     play.matches("ask")
 
@@ -288,14 +288,14 @@
 def test_a_list_that_shrinks_to_nothing_and_sums_of_the_gone():
     play = Play()
     play.run(1)
-    play.hear(gp.ListHeard("full", ()))
-    play.hear(gp.TaskSums("a", "z", 9, 9, 0.0, 10_000, {}), gp.ProbeAnswered("zz", 5, "ok", {}))
+    play.hear(gp.TaskListReceived("full", ()))
+    play.hear(gp.TaskReport("a", "z", 9, 9, 0.0, 10_000, {}), gp.ProbeFinished("zz", 5, "ok", {}))
     play.run(3)
-    play.hear(gp.ListHeard("full", tuple(line(t) for t in "abc")))
+    play.hear(gp.TaskListReceived("full", tuple(line(t) for t in "abc")))
     play.matches("shrinks")
-    play = Play(gone_binds=False)
+    play = Play(dropped_counts_as_gone=False)
     play.hear(changes(line("a", "draining")))
-    play.hear(gp.ListHeard("full", ()))
+    play.hear(gp.TaskListReceived("full", ()))
     play.run(3)
     play.matches("shrinks_where_gone_does_not_bind")
 
@@ -306,7 +306,7 @@
     for _ in range(2):
         play = Play(list_mode="ask")
         play.sums["a"] = (9, seed, 300)
-        play.hear(gp.ListHeard("lost", ()))
+        play.hear(gp.TaskListReceived("lost", ()))
         play.run(9)
         traces.append(play.trace)
     assert traces[0] == traces[1] and len(traces[0]) > 2
@@ -331,7 +331,7 @@
         assert play.brain.queue <= 900
     play.say(f"14 tasks leave, reckoned to wait: {play.brain.queue:.0f} lines")
     mark = play.brain.mark
-    play.hear(*(gp.Applied(p, mark, 0) for p in range(50, 52)))
+    play.hear(*(gp.OrdersApplied(p, mark, 0) for p in range(50, 52)))
     play.say(f"two proxies answer to what shut tasks out: {play.brain.queue:.0f} lines")
     play.matches("shut_out_in_room")
 
@@ -357,7 +357,7 @@
     for p in range(100):
         play.hear(gp.ProxyJoined(p, 5.0, True, "z"))
     assert play.brain.mark == 100 and play.brain.queue == 100 * 15
-    play.hear(*(gp.Applied(p, p + 1, 0) for p in range(10)))
+    play.hear(*(gp.OrdersApplied(p, p + 1, 0) for p in range(10)))
     assert play.brain.queue == 90 * 15 and len(play.brain.sent_batches) == 90
 
 
@@ -365,23 +365,23 @@
     play = Play("abcd", 60, queue_limit=3_500.0, channel_lines=700.0, applies=False)
     play.say(f"60 proxies are bound: {play.brain.queue:.0f} lines wait")
     play.hear(gp.ProxyJoined(60, 5.0, True, "z"))
-    play.hear(gp.Applied(60, play.brain.mark, 0))
+    play.hear(gp.OrdersApplied(60, play.brain.mark, 0))
     play.say(f"one more comes and answers first, as some streams have broken: {play.brain.queue:.0f}")
     play.hear(*(gp.ProxyLeft(p) for p in range(30, 50)))
     play.hear(*(gp.ProxyJoined(p, 5.0, True, "z") for p in range(30, 34)))
     play.say(f"20 leave, 4 come again: {play.brain.queue:.0f}")
     mark = play.brain.mark
-    play.hear(gp.Applied(30, mark, 0))
+    play.hear(gp.OrdersApplied(30, mark, 0))
     play.say(f"one of these answers before the others: {play.brain.queue:.0f}")
     play.now += 110_000
     play.brain.queue_updated_at = play.now
-    play.hear(gp.Applied(31, mark, 0))
+    play.hear(gp.OrdersApplied(31, mark, 0))
     play.say(f"long after, another: {play.brain.queue:.0f}")
     play.matches("lost_stream")
 
 
 def test_levels_that_hold_unordered_are_not_ordered_until_they_change():
-    play = Play(tries="on proof")
+    play = Play(default_retry_mode="on proof")
     play.run(3)
     play.say("most fail")
     play.sums = {t: (20, 12, 200) for t in "abcd"}
@@ -390,7 +390,7 @@
 
 
 def test_who_keeps_an_older_table_is_shut_out_of_all_that_left_however_many():
-    play = Play("abcdefgh", 0, grace=30_000)
+    play = Play("abcdefgh", 0, drain_grace_period=30_000)
     play.run(0.1)
     play.hear(changes(*(line(k, "draining") for k in "abcdefg")))
     play.hear(gp.ProxyJoined(0, 5.0, False, "z"))
@@ -431,7 +431,7 @@
 def test_newcomers_start_as_tasks_of_their_kind_and_thin_readings_lean_on_it():
     play = Play(tasks="")
     kinds = {"a": "big", "b": "big", "c": "small", "d": "small"}
-    play.hear(gp.ListHeard("full", tuple(line(t, kind=kind) for t, kind in kinds.items())))
+    play.hear(gp.TaskListReceived("full", tuple(line(t, kind=kind) for t, kind in kinds.items())))
     play.sums = {"a": (24, 0, 100), "b": (1, 0, 900), "c": (24, 0, 400), "d": (1, 0, 100)}
     play.run(12)
     play.hear(changes(line("e", kind="small"), line("f", kind="big")))
@@ -440,13 +440,13 @@
 
 
 def test_a_list_that_drops_tasks_without_a_drain_is_evidence_only():
-    play = Play(gone_binds=False)
+    play = Play(dropped_counts_as_gone=False)
     play.run(3)
     play.hear(changes(*(line(t, "gone") for t in "abc")))
     play.say("a, b and c are dropped; only a fails its calls")
     play.sums["a"], play.probes["a"] = (4, 4, 0), "unreachable"
     play.run(3)
-    play.hear(gp.ListHeard("full", tuple(line(t) for t in "abcd")))
+    play.hear(gp.TaskListReceived("full", tuple(line(t) for t in "abcd")))
     play.say("the true list is back")
     play.run(1)
     play.matches("wrong_list")
@@ -475,8 +475,8 @@
 def test_bad_input_is_passed_over():
     play = Play(list_mode="ask")
     play.run(1)
-    play.hear(gp.ListHeard("full", (line("a"), line("a"), line("z", "draining"), line("b", "gone"))))
-    play.hear(gp.ListHeard("changes", (line("y", "gone"), line("b"), line("c", started=99))))
+    play.hear(gp.TaskListReceived("full", (line("a"), line("a"), line("z", "draining"), line("b", "gone"))))
+    play.hear(gp.TaskListReceived("changes", (line("y", "gone"), line("b"), line("c", started=99))))
     for tries, failures, ms, span in (
         (-3, 0, 1, 10_000),
         (3, 9, 1, 10_000),
@@ -486,13 +486,18 @@
         (3, 0, 5, -4),
         (3, 1, math.inf, 10_000),
     ):
-        play.hear(*(gp.TaskSums(t, "z", tries, failures, ms, span, {"busy": math.nan}) for t in "abyq"))
+        play.hear(*(gp.TaskReport(t, "z", tries, failures, ms, span, {"busy": math.nan}) for t in "abyq"))
         play.run(0.3)
-    play.hear(gp.ProxyLeft(77), gp.Applied(78, 5, 0), gp.Applied(0, 60_000, 0), gp.RouteSums(9, 2, -4, 0, 0))
+    play.hear(
+        gp.ProxyLeft(77),
+        gp.OrdersApplied(78, 5, 0),
+        gp.OrdersApplied(0, 60_000, 0),
+        gp.RouteReport(9, 2, -4, 0, 0),
+    )
     play.hear(gp.ProxyJoined(0, math.nan, False, "z"), gp.ProxyJoined(0, -1.0, False, "z"))
-    play.hear(gp.ProbeAnswered("y", 5, "ok", {}), gp.ProbeAnswered("none", 5, "timeout", {}))
+    play.hear(gp.ProbeFinished("y", 5, "ok", {}), gp.ProbeFinished("none", 5, "timeout", {}))
     play.run(8)
-    play.hear(gp.ListHeard("full", ()))
+    play.hear(gp.TaskListReceived("full", ()))
     play.run(2)
     play.matches("bad_input")
 
@@ -522,10 +527,10 @@
     play.run(5)
     play.coming, play.applies = [], False
     for bad in "ab":
-        play.hear(*(gp.ProbeAnswered(bad, 6_000, "timeout", {}) for _ in range(5)))
+        play.hear(*(gp.ProbeFinished(bad, 6_000, "timeout", {}) for _ in range(5)))
         play.say(f"{bad} fails its probes; {play.brain.queue:.0f} lines wait")
         play.run(0.5)
-    play.hear(*(gp.Applied(p, play.brain.mark, 0) for p in range(31)))
+    play.hear(*(gp.OrdersApplied(p, play.brain.mark, 0) for p in range(31)))
     play.run(0.2)
     play.matches("health_together")
 
@@ -562,7 +567,7 @@
     play = Play()
     play.run(3)
     play.brain.report_round = 90_000  # so many pairs that each is told of every 9 s
-    play.hear(*(gp.ProbeAnswered("a", 6_000, "timeout", {}) for _ in range(5)))
+    play.hear(*(gp.ProbeFinished("a", 6_000, "timeout", {}) for _ in range(5)))
     play.run(4)
     assert [shown[7:] for shown in play.trace if "let back" in shown][0].startswith("a=")
 
@@ -583,7 +588,7 @@
 
 
 def test_proxies_avoid_tasks_sooner_the_fewer_lines_stand_and_the_more_fail():
-    play = Play("abcdefgh", 40, strikes=60)
+    play = Play("abcdefgh", 40, failures_before_avoidance=60)
     assert play.brain.rarely_avoided("abcdefgh") and not play.brain.rarely_avoided("ab")
     play.brain.usual_failure_share = 0.7
     assert not play.brain.rarely_avoided("abcdefgh")
@@ -608,7 +613,7 @@
 
 
 def test_an_answered_probe_contradicts_the_list():
-    play = Play(gone_binds=False)
+    play = Play(dropped_counts_as_gone=False)
     play.run(1)
     play.hear(changes(*(line(t, "gone") for t in "abcd")))
     play.sums = {t: (4, 3, 300) for t in "abcd"}
@@ -643,7 +648,7 @@
     play.hear(changes(line("e", started=4)))
     play.run(4)
     assert "e" in laid(play.brain)
-    play.hear(*(gp.ProbeAnswered(t, 5_000, "ok", {"in_hand": 30.0}) for t in "abcde"))
+    play.hear(*(gp.ProbeFinished(t, 5_000, "ok", {"in_hand": 30.0}) for t in "abcde"))
     assert "e" not in laid(play.brain)
 
 
@@ -672,7 +677,7 @@
 
 
 def test_a_shut_out_task_is_let_back_though_nobody_knows_whether_it_was_out():
-    play = Play(proxies=0, queue_limit=260.0, channel_lines=260.0, applies=False, grace=5_000)
+    play = Play(proxies=0, queue_limit=260.0, channel_lines=260.0, applies=False, drain_grace_period=5_000)
     play.hear(*(gp.ProxyJoined(p, 10.0 + p, True, "z") for p in range(12)))
     play.hear(changes(line("a", "draining")))
     play.run(0.1)
@@ -689,7 +694,7 @@
 
 def test_the_levels_go_out_anew():
     play = Play(level_kind="fraction", applies=False)
-    play.hear(gp.OrdersLost((gp.Admit(1, (0, 1, 2), 1.0, "on proof"),), True))
+    play.hear(gp.OrdersLost((gp.SetAdmission(1, (0, 1, 2), 1.0, "on proof"),), True))
     play.run(1)
     play.matches("lost_levels")
 
@@ -697,7 +702,7 @@
 def test_all_orders_in_doubt_lay_the_table_and_bind_anew_in_one_reply():
     play = Play(level_kind="fraction")
     play.run(2)
-    play.hear(gp.OrdersInDoubt(), gp.ProxyJoined(1, 20.0, True, "z"), gp.ProxyLeft(0))
+    play.hear(gp.ChannelStateUnknown(), gp.ProxyJoined(1, 20.0, True, "z"), gp.ProxyLeft(0))
     play.say(f"reckoned to wait: {play.brain.queue:.0f} lines")
     play.matches("in_doubt")
 
@@ -707,7 +712,7 @@
     line of the new table without pace or reckoning, and then the whole of it again."""
     play = Play(proxies=20)
     play.run(3)
-    play.hear(gp.OrdersInDoubt())
+    play.hear(gp.ChannelStateUnknown())
     play.say(f"reckoned to wait: {play.brain.queue:.0f} lines")
     for named in (range(12), range(12, 20)):
         play.hear(*(gp.ProxyJoined(p, 20.0, False, "z") for p in named))
@@ -749,7 +754,7 @@
 
 @pytest.mark.parametrize("binds", [True, False])
 def test_what_has_left_for_good_is_given_up(binds):
-    play, kept = Play(queue_limit=400.0, gone_binds=binds), []
+    play, kept = Play(queue_limit=400.0, dropped_counts_as_gone=binds), []
     for n, old in enumerate([*"abcd", *(f"t{n}" for n in range(160))]):
         if n % 9 == 0:  # some come while there is no room: tasks are shut out, and let back when forgotten
             play.hear(*(gp.ProxyJoined(p, 5.0, True, "z") for p in range(n % 5, 12)))
@@ -776,9 +781,9 @@
         play.run(1)
         other.run(1)
         play.hear(
-            gp.ProbeAnswered("a", 5, "other", {}),
-            gp.TaskSums("nobody", "z", 90, 90, 0.0, 10_000, {}),
-            gp.TaskSums("b", "z", 90, 90, 0.0, 10**7, {}),
+            gp.ProbeFinished("a", 5, "other", {}),
+            gp.TaskReport("nobody", "z", 90, 90, 0.0, 10_000, {}),
+            gp.TaskReport("b", "z", 90, 90, 0.0, 10**7, {}),
         )
         other.hear()
     assert play.trace == other.trace and play.brain.tasks["a"].fault_evidence <= 0
@@ -797,7 +802,7 @@
     play.run(5)
     play.say(f"and 5 s later, with nothing heard: {play.brain.queue:.0f}")
     play.applies = True
-    play.hear(gp.OrdersInDoubt(), *(gp.ProxyJoined(p, 5.0, False, "z") for p in range(20)))
+    play.hear(gp.ChannelStateUnknown(), *(gp.ProxyJoined(p, 5.0, False, "z") for p in range(20)))
     count = sum(p.bound for p in play.brain.proxies.values())
     number = play.brain.tables[0].number
     play.say(f"reckoned to wait: {play.brain.queue:.0f} lines for {count} bound to table {number}")
@@ -858,16 +863,16 @@
 
     def hear(self, orders, loses):
         """What the brain is to hear of these orders."""
-        orders = tuple(o for o in orders if not isinstance(o, gp.Timer | gp.Note | gp.Probe))
+        orders = tuple(o for o in orders if not isinstance(o, gp.SetTimer | gp.LogMessage | gp.SendProbe))
         lost, perhaps = self.draw() < loses, self.draw() < 0.5
         for o in () if lost and (not perhaps or self.draw() < 0.5) else orders:
             match o:
-                case gp.SetLine():
+                case gp.SetWeight():
                     self.tables.setdefault(o.table, {})[o.task] = o.weight
-                case gp.Bind():
+                case gp.BindProxy():
                     self.bound[o.proxy] = o.table
-                case gp.Withdraw():
-                    self.out[o.task] = o.out
+                case gp.WithdrawTask():
+                    self.out[o.task] = o.withdrawn
         return [gp.OrdersLost(orders, perhaps)] if lost and orders else []
 
 
@@ -890,7 +895,7 @@
             if draw() < 0.02:
                 if draw() < 0.5:  # else it goes on with all it was given
                     relay.tables, relay.bound, relay.out = {}, {}, {}
-                events.append(gp.OrdersInDoubt())
+                events.append(gp.ChannelStateUnknown())
                 events += [gp.ProxyJoined(p, 5.0, False, "z") for p in play.brain.proxies]
         play.now += 1_000 * (turn % 2)
         play.hear(*events)
@@ -906,7 +911,7 @@
 
 def with_follower(rate=5_000.0, **how):
     play = Play(**how)
-    play.hear(gp.ProxyJoined(70_000, rate, True, "z", aside=True))
+    play.hear(gp.ProxyJoined(70_000, rate, True, "z", external=True))
     return play
 
 
@@ -940,14 +945,14 @@
     play = with_follower(applies=False)
     play.run(1)
     waiting = play.brain.queue
-    play.hear(gp.Applied(70_000, play.brain.mark, 5))
+    play.hear(gp.OrdersApplied(70_000, play.brain.mark, 5))
     assert play.brain.queue == waiting > 0
 
 
 def test_followers_have_nobody_shut_out_and_wait_like_proxies_after_a_restart():
     play = Play(proxies=0)
     play.sums = {}
-    play.hear(gp.ProxyJoined(70_000, 5.0, False, "z", aside=True))
+    play.hear(gp.ProxyJoined(70_000, 5.0, False, "z", external=True))
     play.hear(changes(line("a", "draining")))
     assert not play.brain.proxies[70_000].bound and not play.brain.withdrawn
     play.run(5.9)
@@ -959,7 +964,7 @@
 def test_sums_count_from_the_first_proxy_behind_the_channel():
     """A follower that came hours earlier does not make the first reports look late."""
     play = Play(proxies=0)
-    play.hear(gp.ProxyJoined(70_000, 5.0, True, "z", aside=True))
+    play.hear(gp.ProxyJoined(70_000, 5.0, True, "z", external=True))
     play.run(60)
     play.hear(*(gp.ProxyJoined(p, 20.0, True, "z") for p in range(2)))
     assert play.brain.first_join_at == play.now and play.brain.effective_at["weights"] == play.now
@@ -968,6 +973,6 @@
 def test_parts_of_the_fleet_go_by_the_proxies_behind_the_channel():
     play = Play(tasks="abcdefgh", proxies=20, total=400, assigners=4, queue_limit=500.0)
     before = [t.id for t in play.brain.own_tasks]
-    play.hear(*(gp.ProxyJoined(70_000 + n, 5.0, True, "z", aside=True) for n in range(300)))
+    play.hear(*(gp.ProxyJoined(70_000 + n, 5.0, True, "z", external=True) for n in range(300)))
     play.run(0.3)
     assert [t.id for t in play.brain.own_tasks] == before and len(before) < 8
--- a/tests/test_codecs.py
+++ b/tests/test_codecs.py
@@ -132,9 +132,9 @@
     for proxy in (1, 2, 4, 6):  # 3 and 5 have left and 6 has joined
         membership.receive(second, joined(proxy))
     membership.receive(first, gp.ProxyLeft(3))
-    membership.receive(first, gp.Applied(1, 7, 0))
-    membership.receive(second, gp.Applied(1, 7, 0))
-    membership.receive(second, gp.Applied(2, 7, 0))
+    membership.receive(first, gp.OrdersApplied(1, 7, 0))
+    membership.receive(second, gp.OrdersApplied(1, 7, 0))
+    membership.receive(second, gp.OrdersApplied(2, 7, 0))
     for event in (gp.ProxyLeft(4), joined(4, 9.0)):  # only on the new stream
         membership.receive(second, event)
     if early:
@@ -153,8 +153,8 @@
             [
                 gp.ProxyLeft(3),
                 gp.ProxyLeft(5),
-                gp.Applied(1, 7, 0),
-                gp.Applied(2, 7, 0),
+                gp.OrdersApplied(1, 7, 0),
+                gp.OrdersApplied(2, 7, 0),
                 joined(4, 9.0),
                 joined(6),
                 joined(2, 9.0),
@@ -164,14 +164,14 @@
 
 
 ORDERS = [
-    gp.Withdraw("s-a", False),
-    gp.SetLine(1, "s-a", 1.5),
-    gp.SetLine(1, "s-b", 0.0),
-    gp.Withdraw("s-c", True),
-    gp.Bind(17, 1),
-    gp.Admit(1, (1,), 0.9, "on proof"),
-    gp.Admit(1, (0, 1), 1.0, "none"),
-    gp.Seal(9, False),
+    gp.WithdrawTask("s-a", False),
+    gp.SetWeight(1, "s-a", 1.5),
+    gp.SetWeight(1, "s-b", 0.0),
+    gp.WithdrawTask("s-c", True),
+    gp.BindProxy(17, 1),
+    gp.SetAdmission(1, (1,), 0.9, "on proof"),
+    gp.SetAdmission(1, (0, 1), 1.0, "none"),
+    gp.RequestAcknowledgement(9, False),
 ]
 
 
@@ -189,7 +189,7 @@
 def test_marks_of_an_earlier_process_are_ignored():
     marks = order_codec.MarkTranslator(70_000)
     sent = [marks.to_wire(mark) for mark in (0, 1, 65_535)]
-    events = [marks.from_wire(gp.Applied(4, mark, 10)) for mark in (*sent, 12)]
+    events = [marks.from_wire(gp.OrdersApplied(4, mark, 10)) for mark in (*sent, 12)]
     assert [event and event.mark for event in events] == [0, 1, 65_535, None]
 
 
--- a/tests/test_dfp.py
+++ b/tests/test_dfp.py
@@ -158,8 +158,8 @@
         addresses = addresses or {"a": ("10.0.0.1", 80), "b": ("10.0.0.2", 80), "c": ("10.0.0.1", 81)}
         self.snapshot_builder.update(
             self.now,
-            [gp.ListHeard("full", tuple(map(line, addresses)))],
-            [gp.SetLine(1, k, 1.0) for k in addresses],
+            [gp.TaskListReceived("full", tuple(map(line, addresses)))],
+            [gp.SetWeight(1, k, 1.0) for k in addresses],
             addresses,
         )
         self.key, self.closed, self.hold_acks, self.written = options.pop("key", None), False, False, 0
@@ -199,9 +199,11 @@
                     self.closed = True
                     self.record(f"closes: {why}")
                 case PublishEvent(event):
-                    if not isinstance(event, gp.Applied):
+                    if not isinstance(event, gp.OrdersApplied):
                         self.record(f"brain: {type(event).__name__} {event.proxy}")
-                    orders = [gp.Bind(FIRST_FOLLOWER_NUMBER, 1)] if isinstance(event, gp.ProxyJoined) else []
+                    orders = (
+                        [gp.BindProxy(FIRST_FOLLOWER_NUMBER, 1)] if isinstance(event, gp.ProxyJoined) else []
+                    )
                     self.snapshot_builder.update(self.now, [event], orders)
                 case LogLine("manager_state" | "message_unreadable" as name, fields):
                     self.record(f"log: {name} {dict(fields)}")
@@ -228,12 +230,12 @@
     harness.note("a snapshot with its binding is published")
     harness.apply_batch()
     harness.note("weights change twice within the update interval")
-    harness.apply_batch([], [gp.SetLine(1, "a", 1.5)])
+    harness.apply_batch([], [gp.SetWeight(1, "a", 1.5)])
     harness.now += 1_000
-    harness.apply_batch([], [gp.SetLine(1, "a", 1.8), gp.SetLine(1, "b", 0.2)])
+    harness.apply_batch([], [gp.SetWeight(1, "a", 1.8), gp.SetWeight(1, "b", 0.2)])
     harness.advance(2)
     harness.note("b drains: sent at once")
-    harness.apply_batch([], [gp.SetLine(1, "c", 0.7)])
+    harness.apply_batch([], [gp.SetWeight(1, "c", 0.7)])
     harness.apply_batch([changes(line("b", "draining"))])
     harness.note("nothing changes: keep-alives are sent, more often once it requests that")
     harness.advance(4)
@@ -272,13 +274,13 @@
     )
     harness.apply_batch()
     harness.advance(2)
-    harness.apply_batch([changes(line("a", "gone"))], [gp.SetLine(1, "a", 0.0)])
+    harness.apply_batch([changes(line("a", "gone"))], [gp.SetWeight(1, "a", 0.0)])
     harness.advance(1)
     harness.note("ten minutes later the gone task is forgotten")
     harness.dispatch(MessageReceived(Parameters(0)))
     harness.now += 6_000_000
     harness.apply_batch()
-    harness.apply_batch([changes(line("n"))], [gp.SetLine(1, "n", 1.0)], {"n": ("10.0.0.1", 80)})
+    harness.apply_batch([changes(line("n"))], [gp.SetWeight(1, "n", 1.0)], {"n": ("10.0.0.1", 80)})
     harness.advance(1)
     matches("dfp_members", harness.trace)
 
--- a/tests/test_fault_scenarios.py
+++ b/tests/test_fault_scenarios.py
@@ -395,7 +395,7 @@
             terms = {"total": sum(self.proxy_counts), "assigners": ASSIGNERS, "rank": rank}
             assigner = Play((), 0, probes_allowed=False, warm_after=WARM_UP_TIME, **terms)
             assigner.now, assigner.sums = START_TIME, {}
-            assigner.hear(gp.ListHeard("full", tuple(map(task_line, tasks))))
+            assigner.hear(gp.TaskListReceived("full", tuple(map(task_line, tasks))))
             assigner.hear(*(gp.ProxyJoined(proxy, rate, True, "z") for proxy in range(count)))
             assigner.run(5)
             self.assigners.append(assigner)
@@ -477,9 +477,18 @@
             assigner.run(0.1)
             orders_by_type.update(type(order).__name__ for order in assigner.last)
         sizes.append(state_size(assigner.brain))
-    order_counts = {kind: orders_by_type[kind] for kind in ("SetLine", "Seal", "Bind", "Withdraw", "Admit")}
-    assert order_counts == {"SetLine": 20, "Seal": 0, "Bind": 0, "Withdraw": 0, "Admit": 0}
-    assert orders_by_type["Probe"] <= 20 * 60 * 5  # 5 tasks, once per second each
+    order_counts = {
+        kind: orders_by_type[kind]
+        for kind in ("SetWeight", "RequestAcknowledgement", "BindProxy", "WithdrawTask", "SetAdmission")
+    }
+    assert order_counts == {
+        "SetWeight": 20,
+        "RequestAcknowledgement": 0,
+        "BindProxy": 0,
+        "WithdrawTask": 0,
+        "SetAdmission": 0,
+    }
+    assert orders_by_type["SendProbe"] <= 20 * 60 * 5  # 5 tasks, once per second each
     assert max(sizes[10:]) <= max(sizes[:10])
 
 
@@ -488,7 +497,7 @@
     parts = [
         brain.timers,
         brain.sent_batches,
-        brain.pending_sums,
+        brain.pending_reports,
         brain.counted_until,
         brain.changed_at,
         brain.lines,
@@ -500,7 +509,7 @@
         brain.unbound_proxies,
         brain.withdrawn,
         brain.awaited,
-        brain.notes,
+        brain.log_messages,
     ]
     parts += [table.weights for table in brain.tables] + [brain.tables]
     return sum(map(len, parts))
@@ -580,9 +589,9 @@
             return await run_until(watch, events, 3)
 
     assert assert_independent_of_read_size(monkeypatch, client, scenario) == [
-        "ListHeard full (TaskLine s-ä a 0 ready 1.0 0 , TaskLine s-b a 0 ready 1.0 0 )",
-        "ListHeard changes (TaskLine s-ä a 0 draining 1.0 0 )",
-        "ListHeard changes (TaskLine s-b a 0 gone 1.0 0 )",
+        "TaskListReceived full (TaskLine s-ä a 0 ready 1.0 0 , TaskLine s-b a 0 ready 1.0 0 )",
+        "TaskListReceived changes (TaskLine s-ä a 0 draining 1.0 0 )",
+        "TaskListReceived changes (TaskLine s-b a 0 gone 1.0 0 )",
     ]
 
 
@@ -629,13 +638,13 @@
         async with StandIn(http_response(answer), chunked, taken(1)) as relay:
             sender = OrderSender(relay.address, ["read"], MarkTranslator(0), events.append)
             for task in "abc":
-                sender.submit([gp.SetLine(1, task, 1.0)])
+                sender.submit([gp.SetWeight(1, task, 1.0)])
             running = asyncio.create_task(sender.run())
             await until(lambda: len(relay.said) == 3)
             running.cancel()
-            return [*events, gp.Note(f"{len(relay.writers)} connections")]
+            return [*events, gp.LogMessage(f"{len(relay.writers)} connections")]
 
-    assert assert_independent_of_read_size(monkeypatch, client, scenario) == ["Note 1 connections"]
+    assert assert_independent_of_read_size(monkeypatch, client, scenario) == ["LogMessage 1 connections"]
 
 
 def test_split_probe_answers(monkeypatch):
@@ -647,13 +656,13 @@
             addresses.by_task["s-a"] = task.address
             prober = Prober(addresses, events.append, True, 8)
             for count in (1, 2):
-                prober.start(gp.Probe("s-a", 600_000))
+                prober.start(gp.SendProbe("s-a", 600_000))
                 await until(lambda count=count: len(events) == count)
-            return [gp.ProbeAnswered(event.task, 0, event.outcome, event.load) for event in events]
+            return [gp.ProbeFinished(event.task, 0, event.outcome, event.load) for event in events]
 
     assert assert_independent_of_read_size(monkeypatch, client, scenario) == [
-        "ProbeAnswered s-a 0 ok {'in_hand': 7.0, 'busy': 0.61}",
-        "ProbeAnswered s-a 0 ok {'busy': 0.5}",
+        "ProbeFinished s-a 0 ok {'in_hand': 7.0, 'busy': 0.61}",
+        "ProbeFinished s-a 0 ok {'busy': 0.5}",
     ]
 
 
@@ -679,13 +688,13 @@
             reader, _ = await server.join(message)
             await until(lambda: len(events) == 3)
             answers = await reader.readexactly(3 * len(b"hb_ok\r\n"))
-            return [*events, gp.Note(f"{answers.count(b'hb_ok')} answers")]
+            return [*events, gp.LogMessage(f"{answers.count(b'hb_ok')} answers")]
 
     assert assert_independent_of_read_size(monkeypatch, listener, scenario) == [
-        "TaskSums s-ä a 2 0 50.0 10000 {}",
-        "TaskSums s-ä a 2 0 50.0 10000 {}",
-        "RouteSums 7 0 19 1 10000",
-        "Note 3 answers",
+        "TaskReport s-ä a 2 0 50.0 10000 {}",
+        "TaskReport s-ä a 2 0 50.0 10000 {}",
+        "RouteReport 7 0 19 1 10000",
+        "LogMessage 3 answers",
     ]
 
 
--- a/tests/test_fronts.py
+++ b/tests/test_fronts.py
@@ -94,16 +94,18 @@
             harness.sums["d"], harness.probes["d"] = (10, 0, 200), "ok"
             harness.hear(changes(line("c", started=harness.now / 10_000)))
             await harness.advance_with_io(25, comparison)
-            harness.hear(gp.OrdersInDoubt())
+            harness.hear(gp.ChannelStateUnknown())
             await harness.advance_with_io(3, comparison)
-            harness.hear(gp.ListHeard("full", tuple(line(t) for t in "adef")))
+            harness.hear(gp.TaskListReceived("full", tuple(line(t) for t in "adef")))
             await harness.advance_with_io(5, comparison)
             seen = " ".join(harness.trace)
             for word in ("taken out", "let back", "c=0 ", "d="):
                 assert word in seen + " "
             # No order for the follower may reach the relay.
             sent = [o for reply in harness.platform_replies for o in reply]
-            assert sent and not any(isinstance(o, gp.Bind) and o.proxy >= FIRST_FOLLOWER_NUMBER for o in sent)
+            assert sent and not any(
+                isinstance(o, gp.BindProxy) and o.proxy >= FIRST_FOLLOWER_NUMBER for o in sent
+            )
             return comparison.compared, client.log
 
     compared, log = asyncio.run(scenario())
@@ -164,9 +166,11 @@
             async with restarted.serving():
                 count = len(received)
                 await until(lambda: restarted.follower_events)
-                assert [e.fresh for e in restarted.follower_events if isinstance(e, gp.ProxyJoined)] == [
-                    False
-                ]
+                assert [
+                    e.has_only_default_table
+                    for e in restarted.follower_events
+                    if isinstance(e, gp.ProxyJoined)
+                ] == [False]
                 await restarted.advance_with_io(2)
                 assert weights_by_port(client) == previous_weights and len(received) == count
                 restarted.sums = {t: (10, 0, 500 if t == "a" else 200) for t in "abcdef"}
@@ -326,7 +330,9 @@
             before = [c.state_machine.serial for c in clients]
             started_at = harness.now
             for n in range(25):  # all weights change ten times per second
-                harness.last = [gp.SetLine(1, t, 0.5 + (n + k) % 10 / 10) for k, t in enumerate("abcdefghij")]
+                harness.last = [
+                    gp.SetWeight(1, t, 0.5 + (n + k) % 10 / 10) for k, t in enumerate("abcdefghij")
+                ]
                 harness.now += 1_000
                 harness.front_ends.follow(harness.now, [], harness.last)
                 harness.front_ends.manager.timers.run_due() if harness.front_ends.manager.timers else None
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -35,7 +35,7 @@
 
 LONG_TIMEOUT, SHORT_TIMEOUT = 60.0, 0.01  # s: where a response is expected, and where none ever comes
 pytestmark = pytest.mark.usefixtures("patient")
-A, B, C = (gp.SetLine(1, name, 1.0) for name in ("s-a", "s-b", "s-c"))
+A, B, C = (gp.SetWeight(1, name, 1.0) for name in ("s-a", "s-b", "s-c"))
 
 
 @pytest.fixture
@@ -81,7 +81,11 @@
     async def scenario():
         async with StandIn(*script) as relay:
             sender = OrderSender(relay.address, ["read"], MarkTranslator(0), published.append)
-            sender.submit([A, B] if name != "partly_accepted" else [A, B, gp.Bind(4, 1), gp.Seal(3, False)])
+            sender.submit(
+                [A, B]
+                if name != "partly_accepted"
+                else [A, B, gp.BindProxy(4, 1), gp.RequestAcknowledgement(3, False)]
+            )
             sender.submit([C])
             running = asyncio.create_task(sender.run())
             await until(
@@ -164,7 +168,11 @@
     monkeypatch.setattr(task_list_watch, "LONG_POLL_MS", 1)
     first = with_timeout(LONG_TIMEOUT if failure else SHORT_TIMEOUT, rows(4, True, a="active"))
     trace = follow_task_list([first, with_timeout(LONG_TIMEOUT, failure), rows(5, True, b="active")])
-    assert trace[2].startswith("GET /discovery/hosts") and "ListHeard full" in trace[-2] and "b" in trace[-2]
+    assert (
+        trace[2].startswith("GET /discovery/hosts")
+        and "TaskListReceived full" in trace[-2]
+        and "b" in trace[-2]
+    )
 
 
 def test_on_demand_a_failure_is_published_and_ends_the_subscription_until_the_next_watch_order():
@@ -244,10 +252,10 @@
             addresses.by_task["s-a"] = task.address
             probes = prober.Prober(addresses, published.append, True, 8)
             for count, seconds in ((1, LONG_TIMEOUT), (2, timeout)):  # the second reuses the connection
-                probes.start(gp.Probe("s-a", int(seconds * 10_000)))
+                probes.start(gp.SendProbe("s-a", int(seconds * 10_000)))
                 await until(lambda count=count: len(published) == count)
-        probes.start(gp.Probe("s-gone", 100))
-        probes.start(gp.Probe("s-a", 600_000))
+        probes.start(gp.SendProbe("s-gone", 100))
+        probes.start(gp.SendProbe("s-a", 600_000))
         await until(lambda: len(published) == 4)
         return task.said
 
@@ -458,7 +466,10 @@
 def test_decision_loop_batches_events_and_fires_timers():
     now, dispatched = [100], []
     brain = RecordingBrain(
-        [[gp.Timer(100, "now"), A, gp.Probe("s-a", 5), B], [gp.Watch(), gp.Timer(250, "late")]]
+        [
+            [gp.SetTimer(100, "now"), A, gp.SendProbe("s-a", 5), B],
+            [gp.SubscribeTaskList(), gp.SetTimer(250, "late")],
+        ]
     )
 
     class Handlers:
@@ -473,7 +484,7 @@
     decision_loop.publish(gp.ProxyLeft(2))
     for now[0] in (100, 101, 249, 300):
         decision_loop.run_batch()
-    assert dispatched == [gp.Probe("s-a", 5), [A, B], "watch"]
+    assert dispatched == [gp.SendProbe("s-a", 5), [A, B], "watch"]
     matches("decision_loop", brain.batches)
 
 
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -197,7 +197,7 @@
             return not watch.last_polls
 
     asyncio.run(scenario())
-    assert [(event.form, event.lines[0].state) for event in events] == [
+    assert [(event.update_type, event.lines[0].state) for event in events] == [
         ("full", "ready"),
         ("full", "ready"),
         ("changes", "draining"),
@@ -277,7 +277,7 @@
             return agent.said
 
     requests = asyncio.run(scenario())
-    assert [event.form for event in events] == ["full", "full"] and events[1].lines[0].task == "b"
+    assert [event.update_type for event in events] == ["full", "full"] and events[1].lines[0].task == "b"
     assert "since" not in requests[3]
 
 
@@ -408,7 +408,7 @@
     ("old_stream_continues", "expected"),
     [
         (True, ["ProxyJoined 5", "ProxyLeft 4"]),
-        (False, ["OrdersInDoubt", "ProxyLeft 4", "ProxyJoined 5", "ProxyJoined 6"]),
+        (False, ["ChannelStateUnknown", "ProxyLeft 4", "ProxyJoined 5", "ProxyJoined 6"]),
     ],
 )
 def test_stream_move_is_a_gap_if_the_old_stream_breaks_first(old_stream_continues, expected, monkeypatch):
@@ -488,7 +488,11 @@
             return final_address_is_expected
 
     assert asyncio.run(scenario())
-    assert [event_summary(event) for event in events[2:]] == ["OrdersInDoubt", "ProxyJoined 6", "ProxyLeft 4"]
+    assert [event_summary(event) for event in events[2:]] == [
+        "ChannelStateUnknown",
+        "ProxyJoined 6",
+        "ProxyLeft 4",
+    ]
 
 
 def test_unexpected_exception_does_not_end_a_stream_move(monkeypatch):
@@ -590,7 +594,9 @@
     call would send each proxy a message that the Brain does not account for: three such calls in a row
     exceeded the queue limit."""
     fence, put, bind, after = parts = order_codec.split_into_calls(
-        [A, gp.Bind(4, 1), gp.Bind(5, 1), gp.Seal(3, False)], ["read"], MarkTranslator(0)
+        [A, gp.BindProxy(4, 1), gp.BindProxy(5, 1), gp.RequestAcknowledgement(3, False)],
+        ["read"],
+        MarkTranslator(0),
     )[0]
     assert [text for _, text in order_codec.remaining_after(parts, 2)] == ["fence,3,0", "attach,5,1,*"]
     assert order_codec.remaining_after(parts, 3) == [] and [text for _, text in parts] == [
@@ -638,10 +644,10 @@
         async with StandIn(http("TEXT inflight=1"), http("TEXT inflight=2")) as task:
             addresses.by_task |= {"s-old": task.address}
             task_prober = prober.Prober(addresses, events.append, True, 8)
-            task_prober.start(gp.Probe("s-old", 600_000))
+            task_prober.start(gp.SendProbe("s-old", 600_000))
             await until(lambda: len(events) == 1)
             addresses.by_task = {"s-new": task.address}
-            task_prober.start(gp.Probe("s-new", 600_000))
+            task_prober.start(gp.SendProbe("s-new", 600_000))
             await until(lambda: len(events) == 2)
             return len(task.writers)
 
--- a/tests/test_rehearsal.py
+++ b/tests/test_rehearsal.py
@@ -430,13 +430,13 @@
     """A Brain that ignores changes of the list keeps sending to a node that drains."""
     from garnetpaddle.brain import Brain
 
-    on_task_list = Brain.on_task_list
+    on_task_list_received = Brain.on_task_list_received
 
     def ignore_changes(self, now, event):
-        if event.form == "stale":
-            on_task_list(self, now, event)
+        if event.update_type == "stale":
+            on_task_list_received(self, now, event)
 
-    monkeypatch.setitem(Brain.HANDLERS, gp.ListHeard, ignore_changes)
+    monkeypatch.setitem(Brain.HANDLERS, gp.TaskListReceived, ignore_changes)
     result = Simulation(write_script(tmp_path, trouble_block("d", "drain", 4, 15, nodes='["near-1"]'))).run()
     assert [b.rule for b in result.violations] == ["drain"] and result.violations[0].orders
 
@@ -588,7 +588,7 @@
     whole = list(events.read(path))
     assert len(whole) > 100 and whole[0][0] == batches[0][0]
     assert [o for _, _, ordered in whole for o in ordered if o.startswith("SetLine")] == [
-        str(o) for *_, orders in batches for o in orders if isinstance(o, gp.SetLine)
+        str(o) for *_, orders in batches for o in orders if isinstance(o, gp.SetWeight)
     ]
     path.write_bytes(path.read_bytes()[:-2_000])
     cut = list(events.read(path))
--- a/tests/test_sasp.py
+++ b/tests/test_sasp.py
@@ -220,8 +220,8 @@
         self.registry = SessionRegistry(GROUPS, followers, lease_specs, grace_period, 150_000, started_at)
         self.sessions, self.written, self.hold_acks, self.published_events = {}, {}, {}, []
         self.apply_batch(
-            [gp.ListHeard("full", tuple(map(line, TASKS)))],
-            [gp.SetLine(1, k, 1.0) for k in TASKS] if with_weights else [],
+            [gp.TaskListReceived("full", tuple(map(line, TASKS)))],
+            [gp.SetWeight(1, k, 1.0) for k in TASKS] if with_weights else [],
             ADDRESSES,
         )
 
@@ -246,7 +246,7 @@
             self.dispatch(connection, SnapshotPublished(snapshot))
 
     def bind(self, *proxies):
-        self.apply_batch([], [gp.Bind(proxy, 1) for proxy in proxies or (FIRST_FOLLOWER_NUMBER,)])
+        self.apply_batch([], [gp.BindProxy(proxy, 1) for proxy in proxies or (FIRST_FOLLOWER_NUMBER,)])
 
     def advance(self, seconds):
         """Advances the clock and fires due timers."""
@@ -285,7 +285,7 @@
                     del self.sessions[connection]
                     self.timers.pop(connection, None)
                 case PublishEvent(event):
-                    if not isinstance(event, gp.Applied):
+                    if not isinstance(event, gp.OrdersApplied):
                         self.record(connection, f"brain: {type(event).__name__} {event.proxy}")
                     self.published_events.append(event)
                     self.snapshot_builder.update(self.now, [event], [])
@@ -386,7 +386,7 @@
     harness.bind()
     harness.receive(GET_WEIGHTS)
     harness.note("weights change; it polls, nothing is pushed")
-    harness.apply_batch([], [gp.SetLine(1, "a", 1.5), gp.SetLine(1, "b", 0.5)])
+    harness.apply_batch([], [gp.SetWeight(1, "a", 1.5), gp.SetWeight(1, "b", 0.5)])
     harness.receive(m.GetWeights(3, (group_name(),)))
     harness.receive(m.GetWeights(3, (group_name("charge"),)))
     harness.note("it deregisters one member, then all")
@@ -402,17 +402,17 @@
     harness.note("all weights change, and change again within the update interval")
     for n, weights in enumerate(((1.4, 0.6, 1.0), (1.8, 0.2, 1.0), (2.0, 0.5, 0.5))):
         harness.now += 1_000 * n
-        harness.apply_batch([], [gp.SetLine(1, k, w) for k, w in zip(TASKS, weights, strict=True)])
+        harness.apply_batch([], [gp.SetWeight(1, k, w) for k, w in zip(TASKS, weights, strict=True)])
     harness.advance(2)
     harness.note("from now on it requests only changed members")
     harness.receive(lb_state(no_change=True))
-    harness.apply_batch([], [gp.SetLine(1, "c", 0.7)])
+    harness.apply_batch([], [gp.SetWeight(1, "c", 0.7)])
     harness.advance(2)
     harness.note("nothing is acknowledged: one update is in flight, no other is sent")
     harness.hold_acks[1] = True
-    harness.apply_batch([], [gp.SetLine(1, "a", 1.0)])
+    harness.apply_batch([], [gp.SetWeight(1, "a", 1.0)])
     harness.now += 12_000
-    harness.apply_batch([], [gp.SetLine(1, "a", 0.9), gp.SetLine(1, "b", 0.8)])
+    harness.apply_batch([], [gp.SetWeight(1, "a", 0.9), gp.SetWeight(1, "b", 0.8)])
     harness.note("the update is acknowledged: the newest one is sent")
     harness.hold_acks[1] = False
     harness.acknowledge()
@@ -423,7 +423,7 @@
 def test_drain_is_pushed_at_once_and_must_be_confirmed():
     harness = registered_balancer()
     harness.advance(1.5)
-    harness.apply_batch([], [gp.SetLine(1, "a", 1.5)])
+    harness.apply_batch([], [gp.SetWeight(1, "a", 1.5)])
     harness.note("a drains within the update interval; the client sends a message")
     harness.apply_batch([changes(line("a", "draining"))])
     harness.receive(lb_state())
@@ -486,7 +486,7 @@
     harness.apply_batch([changes(line("a", "draining"))])
     harness.receive(lb_state())
     harness.note("an outdated order for a, a lost connection, a new connection")
-    harness.apply_batch([changes(line("a", "gone"))], [gp.SetLine(1, "a", 1.0)])
+    harness.apply_batch([changes(line("a", "gone"))], [gp.SetWeight(1, "a", 1.0)])
     harness.dispatch(1, ConnectionLost("reset"))
     harness.sessions.pop(1)
     harness.now += 40_000
@@ -509,7 +509,7 @@
     harness.bind()
     harness.receive(GET_WEIGHTS)
     harness.note("the first table with weights")
-    harness.apply_batch([], [gp.SetLine(1, "a", 1.0), gp.SetLine(1, "b", 1.0)])
+    harness.apply_batch([], [gp.SetWeight(1, "a", 1.0), gp.SetWeight(1, "b", 1.0)])
     harness.advance(1)
     matches("sasp_restart", harness.trace)
 
@@ -584,7 +584,7 @@
     for retries in ("any", "on proof", "none"):
         for tries in ("on proof", "none"):
             harness = SessionHarness(retries)
-            harness.apply_batch([], [gp.Admit(1, (0, 1, 2), 1.0, tries)])
+            harness.apply_batch([], [gp.SetAdmission(1, (0, 1, 2), 1.0, tries)])
             harness.open().receive(register(1, group="charge"))
             trace += [f"follower retries: {retries}; Brain allows: {tries}", *(x[9:] for x in harness.trace)]
     matches("sasp_mutating_route", trace)
@@ -594,9 +594,9 @@
     harness = registered_balancer()
     harness.receive(register(1, 2, group="charge"))
     harness.advance(2)
-    harness.apply_batch([], [gp.Admit(1, (2,), 0.0, "none")])
+    harness.apply_batch([], [gp.SetAdmission(1, (2,), 0.0, "none")])
     harness.advance(2)
-    harness.apply_batch([], [gp.Admit(1, (2,), 0.5, "none")])
+    harness.apply_batch([], [gp.SetAdmission(1, (2,), 0.5, "none")])
     harness.advance(2)
     matches("sasp_route_not_admitted", harness.trace)
 
--- a/tests/test_task_registry.py
+++ b/tests/test_task_registry.py
@@ -110,19 +110,25 @@
         self.names = [f"t{number:05}" for number in range(tasks)]
         assigners = max(tasks // PROBED, 1)
         terms = dataclasses.replace(
-            TERMS, proxies=PROXIES * assigners, assigners=assigners, channel_lines=20.0, strikes=8
+            TERMS,
+            proxies=PROXIES * assigners,
+            assigners=assigners,
+            channel_lines=20.0,
+            failures_before_avoidance=8,
         )
         self.brain, self.now, self.coming = Brain(terms, 7), 0, []
-        self.turn(gp.ListHeard("full", tuple(line(name) for name in self.names)))
+        self.turn(gp.TaskListReceived("full", tuple(line(name) for name in self.names)))
         self.turn(*(gp.ProxyJoined(proxy, 5.0, True, "z") for proxy in range(PROXIES)))
         for _ in range(90):
             self.beat()
 
     def turn(self, *events):
         orders = self.brain.handle(self.now, events)
-        self.coming += [gp.ProbeAnswered(o.task, 500, "ok", {}) for o in orders if isinstance(o, gp.Probe)]
-        marks = [o.mark for o in orders if isinstance(o, gp.Seal)]
-        self.coming += [gp.Applied(proxy, mark, 500) for mark in marks for proxy in range(PROXIES)]
+        self.coming += [
+            gp.ProbeFinished(o.task, 500, "ok", {}) for o in orders if isinstance(o, gp.SendProbe)
+        ]
+        marks = [o.mark for o in orders if isinstance(o, gp.RequestAcknowledgement)]
+        self.coming += [gp.OrdersApplied(proxy, mark, 500) for mark in marks for proxy in range(PROXIES)]
 
     def beat(self, *events):
         self.now += 1_000
@@ -133,11 +139,11 @@
 CHANGES = {
     "nothing": lambda assigner: (),
     "a report": lambda assigner: (
-        gp.TaskSums(assigner.brain.own_tasks[0].id, "z", 10, 0, 200.0, 10_000, {}),
+        gp.TaskReport(assigner.brain.own_tasks[0].id, "z", 10, 0, 200.0, 10_000, {}),
     ),
-    "an answer": lambda assigner: (gp.Applied(0, assigner.brain.mark, 500),),
+    "an answer": lambda assigner: (gp.OrdersApplied(0, assigner.brain.mark, 500),),
     "a join": lambda assigner: (gp.ProxyJoined(0, 5.0, True, "z"),),
-    "a probe": lambda assigner: (gp.ProbeAnswered(assigner.brain.own_tasks[0].id, 500, "ok", {}),),
+    "a probe": lambda assigner: (gp.ProbeFinished(assigner.brain.own_tasks[0].id, 500, "ok", {}),),
 }
 
 
@@ -157,7 +163,7 @@
     assigner = Assigner(4_000)
     probed = [act for _, _, act, _ in assigner.brain.timers if act is Brain.probe]
     assert len(probed) == PROBED
-    assigner.beat(gp.ListHeard("changes", (line(assigner.brain.own_tasks[0].id, "draining"),)))
+    assigner.beat(gp.TaskListReceived("changes", (line(assigner.brain.own_tasks[0].id, "draining"),)))
     for _ in range(12):
         assigner.beat()
     probed = [task.id for _, _, act, task in assigner.brain.timers if act is Brain.probe]
@@ -168,23 +174,25 @@
     """Each line used to be looked up in a list and to walk all tasks: 13,000 took over 20 s of a core."""
     work = {}
     for tasks in (500, 4_000):
-        listed = gp.ListHeard("full", tuple(line(f"t{number:05}") for number in range(tasks)))
+        listed = gp.TaskListReceived("full", tuple(line(f"t{number:05}") for number in range(tasks)))
         brain = Brain(dataclasses.replace(TERMS, proxies=4_000, assigners=400, channel_lines=20.0), 7)
-        brain.handle(0, [gp.ListHeard("full", listed.lines[: tasks // 2])])
+        brain.handle(0, [gp.TaskListReceived("full", listed.lines[: tasks // 2])])
         work[tasks] = steps_of(lambda brain=brain, listed=listed: brain.handle(10, [listed]))
     assert work[4_000] < 10 * work[500], work
 
 
 NAMES, STATES = st.sampled_from("abcdef"), st.sampled_from(("ready", "ready", "draining", "gone"))
 LINES = st.lists(st.builds(line, NAMES, STATES, st.sampled_from((0, 0, 1, 2))), max_size=8)
-LISTS = st.builds(gp.ListHeard, st.sampled_from(("changes", "full", "stale", "lost")), LINES.map(tuple))
+LISTS = st.builds(
+    gp.TaskListReceived, st.sampled_from(("changes", "full", "stale", "lost")), LINES.map(tuple)
+)
 PROBES = st.builds(
-    lambda name, outcome: gp.ProbeAnswered(name, 10, outcome, {}),
+    lambda name, outcome: gp.ProbeFinished(name, 10, outcome, {}),
     NAMES,
     st.sampled_from(("ok", "unreachable")),
 )
 REPORTS = st.builds(
-    lambda name, failures: gp.TaskSums(name, "z", 9, failures, 200.0, 10_000, {}), NAMES, st.integers(0, 9)
+    lambda name, failures: gp.TaskReport(name, "z", 9, failures, 200.0, 10_000, {}), NAMES, st.integers(0, 9)
 )
 TURNS = st.lists(st.tuples(st.lists(LISTS | PROBES | REPORTS, max_size=3), st.integers(1, 400_000)))
 
@@ -193,7 +201,7 @@
 @given(TURNS, st.booleans())
 def test_the_indexes_agree_with_the_lists_whatever_they_say(turns, gone_binds):
     """Lists that name a task twice, drop it, bring it back, go back in time or say nothing at all."""
-    brain, now = Brain(dataclasses.replace(TERMS, gone_binds=gone_binds), 7), 0
+    brain, now = Brain(dataclasses.replace(TERMS, dropped_counts_as_gone=gone_binds), 7), 0
     brain.handle(0, [gp.ProxyJoined(0, 5.0, True, "z")])
     for events, passed in turns:
         now += passed
