--- a/benchmarks/advice.py
+++ b/benchmarks/advice.py
@@ -3,11 +3,11 @@
     python -m benchmarks.advice                       # 1, 10, 100, 1000 clients x 30, 120, 1000 members
     python -m benchmarks.advice --clients 100 --members 120 --json result.json
 
-The fronts run in their own process on one core, with snapshots and sessions as in production; readers in
+The front ends run in their own process on one core, with snapshots and sessions as in production; readers in
 other processes parse only what they need. As the baseline ("bare"), a plain asyncio server in the same run
 writes the same bytes to as many connections and answers the same polls; figures are given as ratios to it.
 `step` is the time of the Brain's step with as many followers as clients, relative to none; `lag` is the delay
-of the fronts' event loop.
+of the front ends' event loop.
 
     python -m benchmarks.advice --flood               # 1,000 noise connections, room for 64
 
@@ -31,12 +31,12 @@
 from ddsketch import DDSketch
 
 from garnetpaddle import interface as gp
-from garnetpaddle.advice.leases import FIRST_FOLLOWER_NUMBER
+from garnetpaddle.advice.leases import FIRST_FOLLOWER_PROXY_NUMBER
 from garnetpaddle.advice.session_registry import Follower, GroupRoute, SessionRegistry
-from garnetpaddle.book import SnapshotBuilder, SnapshotPublisher
 from garnetpaddle.brain import Brain
 from garnetpaddle.sasp import GetWeights, GroupName, MemberData, MessageDecoder, Register, SetLbState, codec
 from garnetpaddle.sasp.session import Session
+from garnetpaddle.snapshots import SnapshotBuilder, SnapshotPublisher
 
 ORDER_COUNT, READER_PROCESSES = 12, 4
 HEADER = struct.Struct("!HHBII")
@@ -82,9 +82,9 @@
 async def run_fronts(pipe, clients, members):
     """Runs the server: sends its port, then executes the commands of the parent process."""
     from garnetpaddle.advice import session
-    from garnetpaddle.fronts import ConnectionManager
+    from garnetpaddle.front_ends import ConnectionManager
 
-    session.MAX_MESSAGES = 10**9  # the message limit is not part of the measurement
+    session.MAX_MESSAGES_PER_PERIOD = 10**9  # the message limit is not part of the measurement
     uids = [f"lb{k:04}" for k in range(clients)]
     registry = SessionRegistry(
         {"status": GroupRoute(0, "repeatable")},
@@ -117,7 +117,7 @@
             pipe.send(sum(isinstance(event, gp.ProxyJoined) for event in manager_events))
         elif command == "bind":
             events, manager_events[:] = list(manager_events), []
-            binds = [gp.BindProxy(FIRST_FOLLOWER_NUMBER + k, 1) for k in range(clients)]
+            binds = [gp.BindProxy(FIRST_FOLLOWER_PROXY_NUMBER + k, 1) for k in range(clients)]
             publisher.publish(
                 snapshot_builder.update(now_ticks(), events, [*weight_orders(members, 0), *binds])
             )
@@ -225,7 +225,11 @@
 
 async def run_reader(pipe, port, uids, members, baseline):
     """Opens its share of the connections; sends the parent the arrival times once all have read an order."""
-    data = tuple(MemberData.of(*at) for at in member_addresses(members).values()) if not baseline else ()
+    data = (
+        tuple(MemberData.from_address(*at) for at in member_addresses(members).values())
+        if not baseline
+        else ()
+    )
     received, loop = [], asyncio.get_running_loop()
     for uid in uids:
         group_name = GroupName(uid.encode(), GROUP_NAME)
@@ -268,7 +272,7 @@
         nonlocal count
         reader, writer = await asyncio.open_connection("127.0.0.1", port, limit=4 << 20)
         group_name = GroupName(f"lb{k:04}".encode(), GROUP_NAME)
-        data = tuple(MemberData.of(*at) for at in member_addresses(members).values())
+        data = tuple(MemberData.from_address(*at) for at in member_addresses(members).values())
         writer.write(codec.encode(Register(2, True, ((group_name, data),))))
         await reader.readexactly(18)
         pipe.send("registered")
@@ -422,7 +426,8 @@
         )
         brain.handle(0, [gp.ProxyJoined(proxy, 1.0, True, "z") for proxy in range(150)])
         brain.handle(
-            0, [gp.ProxyJoined(FIRST_FOLLOWER_NUMBER + k, 1.0, True, "z", True) for k in range(followers)]
+            0,
+            [gp.ProxyJoined(FIRST_FOLLOWER_PROXY_NUMBER + k, 1.0, True, "z", True) for k in range(followers)],
         )
         brains.append(brain)
     for round_number in range(1, rounds + 1):
@@ -527,7 +532,10 @@
 
 @click.command()
 @click.option(
-    "--flood", "flooded", is_flag=True, help="Measure the fronts under a flood of unreadable data instead."
+    "--flood",
+    "flooded",
+    is_flag=True,
+    help="Measure the front ends under a flood of unreadable data instead.",
 )
 @click.option("--clients", default="1,10,100,1000", help="Comma-separated numbers of clients.")
 @click.option(
@@ -535,7 +543,7 @@
 )
 @click.option("--json", "path", help="Also write the figures to this file.")
 def main(flooded, clients, members, path):
-    """Measures the fronts of the weight advice and prints a table."""
+    """Measures the front ends of the weight advice and prints a table."""
     logging.getLogger("asyncio").setLevel(logging.ERROR)  # hides warnings about writes to closed connections
     structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(logging.ERROR))
     if flooded:
@@ -558,7 +566,7 @@
     )
     for size in map(int, members.split(",")):
         name = GroupName(b"lb0000", GROUP_NAME)
-        entries = [(MemberData.of(*at), 0) for at in member_addresses(size).values()]
+        entries = [(MemberData.from_address(*at), 0) for at in member_addresses(size).values()]
         entry_bytes = b"".join(
             codec.entry(codec.member(member), 0, 0, weight, False) for member, weight in entries
         )
--- a/benchmarks/scaling/brain_turn.py
+++ b/benchmarks/scaling/brain_turn.py
@@ -41,7 +41,7 @@
 
     def __init__(self, params):
         settings = msgspec.convert(workload.settings(params, 0), boot.Settings)
-        self.params, self.brain = params, Brain(boot.terms(settings), 7)
+        self.params, self.brain = params, Brain(boot.derive_parameters(settings), 7)
         self.now, self.pending_events, self.table, self.turns = 10**9, [], {}, 0
         self.random = random.Random(7)
 
--- a/garnetpaddle/advice/leases.py
+++ b/garnetpaddle/advice/leases.py
@@ -7,7 +7,9 @@
 
 from garnetpaddle import interface as gp
 
-FIRST_FOLLOWER_NUMBER = 65_536  # first proxy number of a follower; the platform's proxies have lower numbers
+FIRST_FOLLOWER_PROXY_NUMBER = (
+    65_536  # first proxy number of a follower; the platform's proxies have lower numbers
+)
 # 6 s after our start in which a follower may hold older advice; see brain.INHERITED_TABLES_TENTHS_MS
 RESTART_PERIOD = 60_000
 LEASE_TIMEOUT = 30_000  # 3 s without a sign of life, after which another connection may take the lease
@@ -48,7 +50,7 @@
         """followers: (name, calls per second, zone) in configuration order."""
         self.started_at = started_at
         self.by_name = {
-            name: Lease(name, FIRST_FOLLOWER_NUMBER + k, rate, zone)
+            name: Lease(name, FIRST_FOLLOWER_PROXY_NUMBER + k, rate, zone)
             for k, (name, rate, zone) in enumerate(followers)
         }
 
--- a/garnetpaddle/advice/session.py
+++ b/garnetpaddle/advice/session.py
@@ -26,7 +26,10 @@
 FIRST_MESSAGE_TIMEOUT = 20_000  # 2 s from the connection's start to its first complete message
 REGISTRATION_TIMEOUT = 50_000  # 5 s from each message of a client without a lease to the next
 MESSAGE_TIMEOUT = 20_000  # 2 s from a message's first byte to its last
-MAX_MESSAGES, RATE_PERIOD = 200, 10_000  # messages per 1 s, so that one client cannot starve the others
+MAX_MESSAGES_PER_PERIOD, RATE_PERIOD = (
+    200,
+    10_000,
+)  # messages per 1 s, so that one client cannot starve the others
 
 
 @dataclass(frozen=True, slots=True)
@@ -63,7 +66,9 @@
         self.closed, self.timer_at = False, None
         self.message_count, self.rate_period_start = 0, now
         self.has_read_reply, self.published_mark = False, None
-        self.recorded_drains_version = None  # closed tasks and group versions whose drains are recorded
+        self.recorded_drains_version = (
+            None  # tasks that are not ready and group versions whose drains are recorded
+        )
         self.up_to_date_version = None  # generation and group versions for which nothing is left to send
 
     def handle(self, now, event):
@@ -107,7 +112,7 @@
         if now - self.rate_period_start >= RATE_PERIOD:
             self.message_count, self.rate_period_start = 0, now
         self.message_count += 1
-        if self.message_count > MAX_MESSAGES:
+        if self.message_count > MAX_MESSAGES_PER_PERIOD:
             return self.close(now, "too many messages", actions)
         if self.follower:
             self.confirm_updates(now)
@@ -211,27 +216,27 @@
     def is_admitted(self, table, group):
         """Returns whether the Brain admits any calls of the group's route."""
         level = table.levels.get(group.route.number)
-        return level is None or level.part > 0
+        return level is None or level.admitted > 0
 
     def record_drains(self, table):
         """Records the drain of every member, including those never sent; see member_weights."""
         if (
             self.recorded_drains_version is not None
-            and self.recorded_drains_version[0] is table.closed
+            and self.recorded_drains_version[0] is table.not_ready_since
             and self.recorded_drains_version[1] == self.group_versions()
         ):
             return
-        self.recorded_drains_version = table.closed, self.group_versions()
+        self.recorded_drains_version = table.not_ready_since, self.group_versions()
         for group in self.groups.values():
             for key, member in group.members.items():
                 self.record_drain(table, group, key, member.current_task(table))
 
     def record_drain(self, table, group, key, task):
         """Records that a member's task is draining or gone, or is ready again."""
-        if task in table.closed:
+        if task in table.not_ready_since:
             if (key, task) not in group.drained:
                 group.drained[key, task] = True
-                self.delivery.add_drain(task, max(table.closed[task], self.joined_at))
+                self.delivery.add_drain(task, max(table.not_ready_since[task], self.joined_at))
         elif (key, task) in group.drained:
             del group.drained[key, task]
             self.delivery.cancel_drain(task)
@@ -267,7 +272,7 @@
 
     def push(self, now, table, versions, actions):
         """Sends an update if something changed and the client may be written to."""
-        drained = self.delivery.unsent_drains(table.closed)
+        drained = self.delivery.unsent_drains(table.not_ready_since)
         if not self.delivery.may_send(now, urgent=bool(drained)):
             return
         wanted = self.wanted_weights(table)
--- a/garnetpaddle/advice/session_events.py
+++ b/garnetpaddle/advice/session_events.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from garnetpaddle.book import Snapshot
+from garnetpaddle.snapshots import Snapshot
 
 # Events
 
--- a/garnetpaddle/advice/session_registry.py
+++ b/garnetpaddle/advice/session_registry.py
@@ -4,7 +4,7 @@
 
 from garnetpaddle.advice.leases import FollowerLeases
 from garnetpaddle.advice.weight_table import WeightTables
-from garnetpaddle.book import EMPTY, Level
+from garnetpaddle.snapshots import EMPTY_SNAPSHOT, Level
 
 MAX_MEMBER_SETS = 4_096  # kept in memory; all are forgotten when the limit is passed
 
@@ -38,7 +38,7 @@
     def __init__(self, groups, followers, lease_specs, grace_period, warm_after, started_at):
         self.groups, self.followers, self.grace_period = groups, followers, grace_period
         self.leases, self.weight_tables = FollowerLeases(lease_specs, started_at), WeightTables(warm_after)
-        self.sessions, self.snapshot = {}, EMPTY
+        self.sessions, self.snapshot = {}, EMPTY_SNAPSHOT
         self.last_version, self.member_sets = 0, {}  # member_sets: identity of a member set -> its number
 
     def session_of(self, uid):
--- a/garnetpaddle/advice/update_delivery.py
+++ b/garnetpaddle/advice/update_delivery.py
@@ -18,8 +18,7 @@
 class Unconfirmed(NamedTuple):
     """An update that was written and is not yet confirmed.
 
-    end_offset: its end in the output stream, in bytes; mark: the mark of the Brain's last seal that it
-    includes."""
+    end_offset: its end in the output stream, in bytes; mark: the Brain's newest mark that it includes."""
 
     end_offset: int
     mark: int
@@ -53,10 +52,10 @@
         """Drops the deadline of a task that is ready again."""
         self.drain_deadlines.pop(task, None)
 
-    def unsent_drains(self, closed):
+    def unsent_drains(self, not_ready_since):
         """Returns the pending drains that no written update contains."""
         written = {task: True for update in self.unconfirmed for task in update.drained}
-        return [task for task in self.drain_deadlines if task in closed and task not in written]
+        return [task for task in self.drain_deadlines if task in not_ready_since and task not in written]
 
     def may_send(self, now, urgent):
         """Returns whether an update may be written.
--- a/garnetpaddle/advice/weight_table.py
+++ b/garnetpaddle/advice/weight_table.py
@@ -47,10 +47,10 @@
     number: int  # of the table; 0: the follower is not bound to a table
     mark: int
     weights: Mapping[str, MemberWeight]  # of every known task
-    tasks: Mapping  # task -> book.TaskRecord
+    tasks: Mapping  # task -> snapshots.TaskRecord
     tasks_by_address: Mapping  # address -> task
-    closed: Mapping[str, int]  # task -> time since which it has been draining or gone
-    levels: Mapping = field(default_factory=dict)  # route number -> book.Level
+    not_ready_since: Mapping[str, int]  # task -> time since which it has been draining or gone
+    levels: Mapping = field(default_factory=dict)  # route number -> snapshots.Level
     warm: Mapping[str, bool] = field(default_factory=dict)  # task -> whether its ramp-up is over
     cache: dict = field(default_factory=dict, compare=False)  # results shared by sessions; see AdviceSession
 
@@ -65,7 +65,7 @@
     table: object
     tasks: object
     withdrawn: object
-    steered: bool
+    weights_changed: bool
     result: WeightTable
 
     def is_current(self, snapshot, table):
@@ -74,7 +74,7 @@
             self.table is table
             and self.tasks is snapshot.tasks
             and self.withdrawn is snapshot.withdrawn
-            and self.steered == snapshot.steered
+            and self.weights_changed == snapshot.weights_changed
         )
 
 
@@ -89,7 +89,8 @@
         self.warm_after, self.scale, self.cached = warm_after, WeightScale(), {}
 
     def table_for(self, snapshot, proxy):
-        """Returns the WeightTable of a proxy, with number 0 and closed tasks only if it has no table."""
+        """Returns the WeightTable of a proxy; without a table, it has number 0 and only tasks that are not
+        ready."""
         table = snapshot.table(proxy)
         number = table.number if table else 0
         cached = self.cached.get(number)
@@ -97,22 +98,24 @@
             return cached.result
         result = self.compute(snapshot, proxy, table)
         self.cached = {n: x for n, x in self.cached.items() if n in snapshot.tables or not n}
-        self.cached[number] = CachedTable(table, snapshot.tasks, snapshot.withdrawn, snapshot.steered, result)
+        self.cached[number] = CachedTable(
+            table, snapshot.tasks, snapshot.withdrawn, snapshot.weights_changed, result
+        )
         return result
 
     def compute(self, snapshot, proxy, table):
         """Computes a WeightTable from a snapshot."""
-        tasks, lines = snapshot.tasks, snapshot.usable_lines(proxy) or {}
+        tasks, lines = snapshot.tasks, snapshot.usable_weights(proxy) or {}
         warm = {
             k: snapshot.at >= t.started_at + self.warm_after or not t.started_at for k, t in tasks.items()
         }
         integers = self.scale.to_integers(lines, {k: True for k in lines if not warm.get(k, True)})
         weights = {}
         for k, record in tasks.items():
-            if record.closed():
+            if record.is_not_ready():
                 weights[k] = DRAINING if record.state == "draining" else UNKNOWN
             elif k in integers:
-                weights[k] = MemberWeight(integers[k], True, False, snapshot.steered)
+                weights[k] = MemberWeight(integers[k], True, False, snapshot.weights_changed)
             else:
                 weights[k] = UNUSED
         return WeightTable(
@@ -122,7 +125,7 @@
             MappingProxyType(weights),
             tasks,
             snapshot.tasks_by_address,
-            snapshot.closed,
+            snapshot.not_ready_since,
             table.levels if table else MappingProxyType({}),
             MappingProxyType(warm),
         )
@@ -148,7 +151,7 @@
     if admitted and not any(weight.weight > 0 for weight in weights.values()):
         for key, member in members.items():
             task = member.current_task(table)
-            if table.warm.get(task) and task not in table.closed and not member.quiesced:
+            if table.warm.get(task) and task not in table.not_ready_since and not member.quiesced:
                 weights[key] = LAST_RESORT
     return weights
 
@@ -158,7 +161,7 @@
     weights = {}
     for key, member in members.items():
         task = member.current_task(table)
-        if task in table.closed:
+        if task in table.not_ready_since:
             weights[key] = table.weight_of(task)
         elif key in last_sent:
             weights[key] = last_sent[key]
--- a/garnetpaddle/boot/__init__.py
+++ b/garnetpaddle/boot/__init__.py
@@ -1,9 +1,17 @@
 """Decoding of the start-up settings and task list entries, shared by garnetpaddle.net and the simulator host.
 
-Settings is the decoded settings object; terms() derives the Brain's parameters from it."""
+Settings is the decoded settings object; derive_parameters() derives the Brain's parameters from it."""
 
-from garnetpaddle.boot.parsing import UnknownValue, lookup, tenths
-from garnetpaddle.boot.settings import Settings, terms
+from garnetpaddle.boot.parsing import UnknownValue, lookup, seconds_to_tenths_of_ms
+from garnetpaddle.boot.settings import Settings, derive_parameters
 from garnetpaddle.boot.task_list import make_task_line, normalize_load
 
-__all__ = ["Settings", "UnknownValue", "lookup", "make_task_line", "normalize_load", "tenths", "terms"]
+__all__ = [
+    "Settings",
+    "UnknownValue",
+    "lookup",
+    "make_task_line",
+    "normalize_load",
+    "seconds_to_tenths_of_ms",
+    "derive_parameters",
+]
--- a/garnetpaddle/boot/parsing.py
+++ b/garnetpaddle/boot/parsing.py
@@ -17,6 +17,6 @@
     return table[value]
 
 
-def tenths(seconds):
+def seconds_to_tenths_of_ms(seconds):
     """Seconds, rounded to an integer in tenths of a millisecond; None counts as 0."""
     return int((seconds or 0.0) * TENTHS_OF_MS_PER_SECOND + 0.5)
--- a/garnetpaddle/boot/settings.py
+++ b/garnetpaddle/boot/settings.py
@@ -1,11 +1,11 @@
 """The settings object that an assigner receives at its start, with the field names of its JSON form.
 
-terms() derives the Brain's parameters from it. Unknown keys are ignored."""
+derive_parameters() derives the Brain's parameters from it. Unknown keys are ignored."""
 
 import msgspec
 
 from garnetpaddle import interface as gp
-from garnetpaddle.boot.parsing import UnknownValue, tenths
+from garnetpaddle.boot.parsing import UnknownValue, seconds_to_tenths_of_ms
 
 
 class Category(msgspec.Struct):
@@ -73,30 +73,30 @@
     reporting: Reporting = msgspec.field(default_factory=Reporting)
 
 
-def terms(settings):
+def derive_parameters(settings):
     """The Brain's parameters (interface.Parameters); raises UnknownValue for an unsupported setting."""
     channel, contract = settings.specifics, settings.contract
     if channel.ranges:
         # Ranges (slices) are not supported: no deployment has them yet.
         raise UnknownValue("specifics.ranges", channel.ranges)
     return gp.Parameters(
-        routes=tuple(gp.Route(c.gain, tenths(c.promise)) for c in settings.categories),
+        routes=tuple(gp.Route(c.gain, seconds_to_tenths_of_ms(c.promise)) for c in settings.categories),
         list_mode=settings.discovery,
-        resubscribe_deadline=tenths(contract.must_ask_in),
+        resubscribe_deadline=seconds_to_tenths_of_ms(contract.must_ask_in),
         probes_allowed=settings.ceilings.probes,
-        warm_after=tenths(contract.cold),
+        warm_after=seconds_to_tenths_of_ms(contract.cold),
         start_share=contract.start_capacity,
         fall_multiple=contract.fall_multiple,
         dropped_counts_as_gone=not contract.dropped_stay_open,
-        report_period=tenths(channel.report_every),
+        report_period=seconds_to_tenths_of_ms(channel.report_every),
         channel_lines=channel.egress_per_s,
         queue_limit=channel.queue_cap,
         message_overhead_lines=channel.head,
         message_cap=channel.pushes_allowed,
-        message_cap_period=tenths(channel.counted_over),
+        message_cap_period=seconds_to_tenths_of_ms(channel.counted_over),
         level_kind=channel.level_kind,
         failures_before_avoidance=channel.strikes,
-        drain_grace_period=tenths(contract.stop_sending_within),
+        drain_grace_period=seconds_to_tenths_of_ms(contract.stop_sending_within),
         default_retry_mode={0: "none", 1: "on proof", 2: "once"}.get(channel.base_mode, ""),
         proxies=max(channel.agents, 1),
         assigners=max(settings.balancers, 1),
--- a/garnetpaddle/brain.py
+++ b/garnetpaddle/brain.py
@@ -218,8 +218,8 @@
             self.on_task_line(now, line, shares)
 
     def on_task_line(self, now, line, shares):
-        """Applies a line of the list. A task dropped during a drain stays draining. Where being dropped does
-        not bind, it only counts as evidence against a ready task."""
+        """Applies a line of the list. A task dropped during a drain stays draining. If a dropped ready task
+        does not count as gone, the drop is only evidence against it."""
         old_line = self.lines.get(line.task)
         task = self.tasks.get(line.task)
         state = old_line.state if old_line else "gone"
@@ -945,7 +945,7 @@
         changes = []
         no_line_remains = not any(weight and name in lines for name, weight in weights.items())
         for name in weights:
-            # If the list has become empty and being dropped from it does not bind, the last table is kept.
+            # If the list has become empty and a dropped task does not count as gone, the last table is kept.
             if name not in lines and (
                 lines or self.parameters.dropped_counts_as_gone or self.lines[name].state == "draining"
             ):
--- a/garnetpaddle/client/asyncio_client.py
+++ b/garnetpaddle/client/asyncio_client.py
@@ -149,7 +149,9 @@
         uniform: Uniform | None = None,
         **options: bool,
     ) -> None:
-        members = {name: [MemberData.of(*member) for member in listed] for name, listed in groups.items()}
+        members = {
+            name: [MemberData.from_address(*member) for member in listed] for name, listed in groups.items()
+        }
         state_machine = SaspBalancer(uid, members, uniform or random.Random().uniform, **options)
         super().__init__(address, state_machine, lambda: sasp.MessageDecoder(MAX_MESSAGE))
 
@@ -171,7 +173,7 @@
 
     def change(self, group, members, change):
         """Passes a change of a group's members to the state machine."""
-        data = tuple(MemberData.of(*member) for member in members)
+        data = tuple(MemberData.from_address(*member) for member in members)
         self.handle(events.ChangeMembers(group, data, change))
 
 
--- a/garnetpaddle/commands/advice.py
+++ b/garnetpaddle/commands/advice.py
@@ -31,12 +31,12 @@
 
     from garnetpaddle.net import http
     from garnetpaddle.net.task_list_codec import TaskList
-    from garnetpaddle.net.task_list_watch import PATH, TaskAddresses
+    from garnetpaddle.net.task_list_watch import TASK_LIST_PATH, TaskAddresses
 
     connection = await http.connect(agent, DISCOVERY_TIMEOUT)
     if isinstance(connection, http.NotSent):
         raise UsageError(f"task list of {agent[0]}:{agent[1]}: {connection.why}")
-    response = await connection.call("GET", PATH, DISCOVERY_TIMEOUT)
+    response = await connection.call("GET", TASK_LIST_PATH, DISCOVERY_TIMEOUT)
     connection.close()
     if not isinstance(response, http.Response) or response.status != 200:
         raise UsageError(
--- a/garnetpaddle/commands/serve.py
+++ b/garnetpaddle/commands/serve.py
@@ -27,9 +27,9 @@
 
     try:
         if not path:
-            raise configuration.Wrong("ROUTER_CONFIG: not set")
+            raise configuration.ConfigurationError("ROUTER_CONFIG: not set")
         platform = configuration.read(path, environment)
-    except configuration.Wrong as error:
+    except configuration.ConfigurationError as error:
         return print_error(error)
     if not operator_path:
         return ServeFiles(platform, None, path)
--- a/garnetpaddle/dfp/session.py
+++ b/garnetpaddle/dfp/session.py
@@ -104,7 +104,7 @@
                 key = ipaddress.IPv4Address(record.address[0]).packed, record.address[1]
             except ValueError:
                 continue
-            if key not in members or not record.closed():
+            if key not in members or not record.is_not_ready():
                 members[key] = Member(key, record.address, task)
         # A task that is no longer known stays until the manager has been sent weight 0 for it.
         last_sent = self.delivery.last_sent.get(self.group_name, {})
--- a/garnetpaddle/fronts/__init__.py
+++ b/garnetpaddle/front_ends/__init__.py
@@ -2,7 +2,7 @@
 
 They read the published snapshots, never block the decision loop, and send nothing to the platform's relay."""
 
-from garnetpaddle.fronts.connection_manager import ConnectionManager
-from garnetpaddle.fronts.front_ends import FrontEnds
+from garnetpaddle.front_ends.connection_manager import ConnectionManager
+from garnetpaddle.front_ends.front_ends import FrontEnds
 
 __all__ = ["ConnectionManager", "FrontEnds"]
--- a/garnetpaddle/fronts/connection_manager.py
+++ b/garnetpaddle/front_ends/connection_manager.py
@@ -24,8 +24,8 @@
     TimerExpired,
     WriteBytes,
 )
-from garnetpaddle.fronts.connection import MAX_ACK_POLL_INTERVAL, MIN_ACK_POLL_INTERVAL, Connection
-from garnetpaddle.fronts.timer_queue import TimerQueue
+from garnetpaddle.front_ends.connection import MAX_ACK_POLL_INTERVAL, MIN_ACK_POLL_INTERVAL, Connection
+from garnetpaddle.front_ends.timer_queue import TimerQueue
 
 READ_SIZE = 16 << 10  # bytes per read; bounds the work that one chunk of a flood can cause
 ACCEPTED_PER_ITERATION = 2  # connections accepted per iteration of the event loop
@@ -40,7 +40,7 @@
 class ConnectionManager:
     """Accepts connections, and passes their input, timers and snapshots to their sessions.
 
-    publisher: book.SnapshotPublisher; now: the clock in tenths of a ms; publish: receives events for the
+    publisher: snapshots.SnapshotPublisher; now: the clock in tenths of a ms; publish: receives events for the
     Brain; max_unread: bytes of output that may be buffered for one client."""
 
     def __init__(self, publisher, now, publish, max_connections, max_unread):
--- a/garnetpaddle/fronts/front_ends.py
+++ b/garnetpaddle/front_ends/front_ends.py
@@ -4,13 +4,13 @@
 
 from garnetpaddle import dfp, sasp
 from garnetpaddle import interface as gp
-from garnetpaddle.advice.leases import FIRST_FOLLOWER_NUMBER
+from garnetpaddle.advice.leases import FIRST_FOLLOWER_PROXY_NUMBER
 from garnetpaddle.advice.session_registry import Follower, GroupRoute, SessionRegistry
-from garnetpaddle.book import SnapshotBuilder, SnapshotPublisher
-from garnetpaddle.boot import tenths
+from garnetpaddle.boot import seconds_to_tenths_of_ms
 from garnetpaddle.dfp.codec import Key
-from garnetpaddle.fronts.connection_manager import ConnectionManager
-from garnetpaddle.operator.configuration import uid_of
+from garnetpaddle.front_ends.connection_manager import ConnectionManager
+from garnetpaddle.operator.configuration import lb_uid
+from garnetpaddle.snapshots import SnapshotBuilder, SnapshotPublisher
 
 EFFECTS = {"free": "repeatable", "guarded": "keyed"}  # value in the settings; any other counts as mutating
 BYTES_PER_KIB_SHIFT = 10
@@ -23,21 +23,22 @@
     return host.strip("[]"), int(port)
 
 
-def session_registry_of(configuration, settings, terms, started_at):
+def build_session_registry(configuration, settings, parameters, started_at):
     """Builds the sessions' registry from the operator's and the platform's configuration.
 
-    configuration: operator.OperatorConfiguration; settings: boot.Settings; terms: interface.Parameters."""
+    configuration: operator.OperatorConfiguration; settings: boot.Settings; parameters:
+    interface.Parameters."""
     routes = {c.name: k for k, c in enumerate(settings.categories)}
     groups = {}
     for group in configuration.groups:
         route = routes[group.route]
         groups[group.name] = GroupRoute(route, EFFECTS.get(settings.categories[route].effect, "mutating"))
     followers = {
-        uid_of(f): Follower(f.name, tuple(f.groups), f.retries, f.takes) for f in configuration.followers
+        lb_uid(f): Follower(f.name, tuple(f.groups), f.retries, f.takes) for f in configuration.followers
     }
-    lease_specs = [(f.name, f.calls_per_second, f.zone or terms.zone) for f in configuration.followers]
-    grace_period = tenths(settings.contract.stop_sending_within)
-    return SessionRegistry(groups, followers, lease_specs, grace_period, terms.warm_after, started_at)
+    lease_specs = [(f.name, f.calls_per_second, f.zone or parameters.zone) for f in configuration.followers]
+    grace_period = seconds_to_tenths_of_ms(settings.contract.stop_sending_within)
+    return SessionRegistry(groups, followers, lease_specs, grace_period, parameters.warm_after, started_at)
 
 
 class FrontEnds:
@@ -46,24 +47,24 @@
     configuration: operator.OperatorConfiguration; task_addresses: an object whose by_task maps tasks to
     (host, port); now: the clock in tenths of a ms; publish: receives events for the Brain."""
 
-    def __init__(self, configuration, settings, terms, task_addresses, now, publish):
+    def __init__(self, configuration, settings, parameters, task_addresses, now, publish):
         self.configuration, self.task_addresses, self.published_addresses = (
             configuration,
             task_addresses,
             None,
         )
         self.snapshot_builder, self.publisher = (
-            SnapshotBuilder(terms.dropped_counts_as_gone),
+            SnapshotBuilder(parameters.dropped_counts_as_gone),
             SnapshotPublisher(),
         )
-        self.registry = session_registry_of(configuration, settings, terms, now())
+        self.registry = build_session_registry(configuration, settings, parameters, now())
         limits = configuration.limits
         self.manager = ConnectionManager(
             self.publisher, now, publish, limits.connections, limits.unread_kib << BYTES_PER_KIB_SHIFT
         )
         self.addresses, self.failed = {}, False
 
-    def follow(self, now, events, orders):
+    def publish_snapshot(self, now, events, orders):
         """Publishes the snapshot after a batch; called by the decision loop after each one.
 
         An error here must not end the assigner. But a snapshot that is no longer updated would hide drains
@@ -82,8 +83,11 @@
 
     @staticmethod
     def platform_orders(reply):
-        """Returns the orders of a reply that go to the platform's relay; none if only seals would be left."""
-        kept = [o for o in reply if not (isinstance(o, gp.BindProxy) and o.proxy >= FIRST_FOLLOWER_NUMBER)]
+        """Returns the orders of a reply that go to the platform's relay; none if only acknowledgement
+        requests would be left."""
+        kept = [
+            o for o in reply if not (isinstance(o, gp.BindProxy) and o.proxy >= FIRST_FOLLOWER_PROXY_NUMBER)
+        ]
         if len(kept) < len(reply) and all(isinstance(o, gp.RequestAcknowledgement) for o in kept):
             return []
         return kept
@@ -112,8 +116,8 @@
             session = sasp.Session(
                 self.registry,
                 number,
-                tenths(front.pace),
-                tenths(front.interval),
+                seconds_to_tenths_of_ms(front.pace),
+                seconds_to_tenths_of_ms(front.interval),
                 self.configuration.limits.members,
                 host,
                 now,
@@ -134,10 +138,10 @@
             session = dfp.Session(
                 self.registry,
                 number,
-                tenths(front.pace),
+                seconds_to_tenths_of_ms(front.pace),
                 follower,
                 front.group,
-                tenths(front.keep_alive),
+                seconds_to_tenths_of_ms(front.keep_alive),
                 key,
                 now,
             )
--- a/garnetpaddle/net/configuration.py
+++ b/garnetpaddle/net/configuration.py
@@ -35,42 +35,46 @@
     limits: Limits = msgspec.field(default_factory=Limits)
 
 
-class Wrong(ValueError):
+class ConfigurationError(ValueError):
     """The configuration is invalid; the message names the field."""
 
 
 def parse_address(text, field):
-    """Parses host:port into (host, port); raises Wrong naming the field."""
+    """Parses host:port into (host, port); raises ConfigurationError naming the field."""
     host, _, port = text.rpartition(":")
     if not host or not port.isascii() or not port.isdigit() or int(port) > MAX_PORT:
-        raise Wrong(f"field {field}: {text!r} is not of the form host:port")
+        raise ConfigurationError(f"field {field}: {text!r} is not of the form host:port")
     return host.strip("[]"), int(port)
 
 
 def read(path, variables):
-    """Reads and validates a file; raises Wrong. variables: the environment, which must agree with it."""
+    """Reads and validates a file; raises ConfigurationError.
+
+    variables: the environment, which must agree with it."""
     try:
         with open(path, "rb") as file:
             config = msgspec.json.decode(file.read(), type=Configuration)
     except OSError as error:
-        raise Wrong(f"ROUTER_CONFIG: {path!r}: {error.strerror}") from None
+        raise ConfigurationError(f"ROUTER_CONFIG: {path!r}: {error.strerror}") from None
     except msgspec.DecodeError as error:
-        raise Wrong(f"ROUTER_CONFIG: {error}") from None
+        raise ConfigurationError(f"ROUTER_CONFIG: {error}") from None
     for variable, field in FIELD_OF_VARIABLE.items():
         value = variables.get(variable, getattr(config, field))
         if value != getattr(config, field):
-            raise Wrong(f"{variable}: {value!r} differs from {field} in the file, {getattr(config, field)!r}")
+            raise ConfigurationError(
+                f"{variable}: {value!r} differs from {field} in the file, {getattr(config, field)!r}"
+            )
     try:
         validate(config)
-    except Wrong:
+    except ConfigurationError:
         raise
     except (ValueError, OverflowError) as error:
-        raise Wrong(str(error)) from None
+        raise ConfigurationError(str(error)) from None
     return config
 
 
 def validate(configuration):
-    """Raises Wrong or ValueError for the first invalid value."""
+    """Raises ConfigurationError or ValueError for the first invalid value."""
     parse_seed(configuration)
     for field in ("listen", "discovery"):
         parse_address(getattr(configuration, field), field)
@@ -78,20 +82,22 @@
     task_lines(configuration.known)
     validate_ranges(configuration)
     validate_consistency(configuration.settings)
-    boot.terms(configuration.settings)
+    boot.derive_parameters(configuration.settings)
 
 
 def validate_ranges(configuration):
-    """Raises Wrong for a number outside its range."""
+    """Raises ConfigurationError for a number outside its range."""
     for field, value in positive_numbers(configuration).items():
         if not 0 < value < UPPER_LIMIT:
-            raise Wrong(f"field {field}: {value!r} must be above 0 and below {UPPER_LIMIT:.0e}")
+            raise ConfigurationError(f"field {field}: {value!r} must be above 0 and below {UPPER_LIMIT:.0e}")
     for field, value in non_negative_numbers(configuration.settings).items():
         if not 0 <= value < UPPER_LIMIT:
-            raise Wrong(f"field {field}: {value!r} must be at least 0 and below {UPPER_LIMIT:.0e}")
+            raise ConfigurationError(
+                f"field {field}: {value!r} must be at least 0 and below {UPPER_LIMIT:.0e}"
+            )
     quantum = configuration.settings.quantum
     if not 0 <= quantum < 1:
-        raise Wrong(f"field settings.quantum: {quantum!r} must be at least 0 and below 1")
+        raise ConfigurationError(f"field settings.quantum: {quantum!r} must be at least 0 and below 1")
 
 
 def positive_numbers(configuration):
@@ -125,26 +131,26 @@
 
 
 def validate_consistency(settings):
-    """Raises Wrong for settings that contradict each other."""
+    """Raises ConfigurationError for settings that contradict each other."""
     if not settings.categories:
-        raise Wrong("field settings.categories: must not be empty")
+        raise ConfigurationError("field settings.categories: must not be empty")
     if settings.discovery not in ("push", "ask"):
-        raise Wrong(f"field settings.discovery: unknown value {settings.discovery!r}")
+        raise ConfigurationError(f"field settings.discovery: unknown value {settings.discovery!r}")
     if settings.rank >= max(settings.balancers, 1):
-        raise Wrong(
+        raise ConfigurationError(
             f"field settings.rank: {settings.rank} is too high: {settings.balancers} balancers count from 0"
         )
     names = [c.name for c in settings.categories]
     for field, values in (("settings.categories", names), ("settings.azs", settings.azs)):
         if duplicates := sorted({value for value in values if values.count(value) > 1}):
-            raise Wrong(f"field {field}: {duplicates[0]!r} occurs more than once")
+            raise ConfigurationError(f"field {field}: {duplicates[0]!r} occurs more than once")
     if settings.azs and settings.my_zone and settings.my_zone not in settings.azs:
-        raise Wrong(f"field settings.my_zone: {settings.my_zone!r} is not one of settings.azs")
+        raise ConfigurationError(f"field settings.my_zone: {settings.my_zone!r} is not one of settings.azs")
 
 
 def parse_seed(configuration):
-    """The hexadecimal seed as an integer; raises Wrong."""
+    """The hexadecimal seed as an integer; raises ConfigurationError."""
     try:
         return int(configuration.seed, 16)
     except ValueError:
-        raise Wrong(f"field seed: {configuration.seed!r} is not hexadecimal") from None
+        raise ConfigurationError(f"field seed: {configuration.seed!r} is not hexadecimal") from None
--- a/garnetpaddle/net/http.py
+++ b/garnetpaddle/net/http.py
@@ -87,7 +87,7 @@
         self.host = f"{address[0]}:{address[1]}"
         self.protocol, self.last_response_at = h11.Connection(h11.CLIENT), time.monotonic()
 
-    def usable(self):
+    def is_usable(self):
         """Whether it can take another request, as far as this side can tell."""
         return self.protocol.our_state is h11.IDLE and not (self.reader.at_eof() or self.writer.is_closing())
 
@@ -112,7 +112,7 @@
 
     async def call(self, method, target, timeout, body=b"", content_type=None):
         """Sends one request and reads its response: NotSent, Unconfirmed or Response."""
-        if not self.usable():
+        if not self.is_usable():
             return NotSent(CLOSED)
         result = None
         try:
--- a/garnetpaddle/net/order_codec.py
+++ b/garnetpaddle/net/order_codec.py
@@ -38,7 +38,7 @@
 
 
 class MarkTranslator:
-    """Translates the brain's seal marks to wire marks and back.
+    """Translates the brain's marks to wire marks and back.
 
     Wire marks start at an offset derived from the seed, so that an acknowledgement of an earlier process's
     mark is not taken for one of this process's."""
@@ -80,7 +80,7 @@
     raise TypeError(f"order has no encoding for the relay: {order!r}")
 
 
-def split_into_calls(orders, routes, marks, limit=MAX_CALL_BYTES):
+def split_into_requests(orders, routes, marks, limit=MAX_CALL_BYTES):
     """Encodes a batch of orders as requests, lists of EncodedOrder: several only above the byte limit.
 
     A fence goes first: it covers its whole request, and nothing after an order that is not accepted is
@@ -109,7 +109,7 @@
         yield call
 
 
-def remaining_after(call, accepted):
+def remaining_orders(call, accepted):
     """The orders of a request that are still to be sent after one that was not accepted.
 
     The fence is repeated, since a fence reaches only the proxies that its own request reaches, but not to
--- a/garnetpaddle/net/order_sender.py
+++ b/garnetpaddle/net/order_sender.py
@@ -24,9 +24,12 @@
 
     def __init__(self, address, routes, marks, publish):
         self.address, self.routes, self.marks, self.publish = address, routes, marks, publish
-        self.queue, self.wake, self.link = collections.deque(), asyncio.Event(), None
+        self.queue, self.wake, self.connection = collections.deque(), asyncio.Event(), None
         self.failures, self.logged_state = 0, None
-        self.next_link, self.move_task = None, None  # the connection to a new address; the task that opens it
+        self.next_connection, self.move_task = (
+            None,
+            None,
+        )  # the connection to a new address; the task that opens it
 
     def submit(self, orders):
         """Queues a batch of orders."""
@@ -44,7 +47,7 @@
     async def send_batch(self, orders):
         """Sends one batch; after an unexpected error it is reported as in doubt."""
         try:
-            await self.send_calls(order_codec.split_into_calls(orders, self.routes, self.marks))
+            await self.send_calls(order_codec.split_into_requests(orders, self.routes, self.marks))
         except Exception:
             log.exception("call_failed")
             self.publish(gp.OrdersLost(tuple(orders), True))
@@ -63,7 +66,7 @@
             self.log_state(None)
             if result.count < len(call):
                 log.warning("order_not_taken", order=call[result.count].text)
-                remaining = order_codec.remaining_after(call, result.count)
+                remaining = order_codec.remaining_orders(call, result.count)
                 calls = [remaining, *calls] if remaining else calls
 
     async def handle_failure(self, result, call, later_calls, partly_sent):
@@ -87,27 +90,31 @@
         requests go to the old address."""
         if self.move_task:
             self.move_task.cancel()
-        if self.next_link:
-            self.next_link.close()
-        self.next_link = None
+        if self.next_connection:
+            self.next_connection.close()
+        self.next_connection = None
         self.move_task = asyncio.get_running_loop().create_task(self.connect_to(address))
 
     async def connect_to(self, address):
         """Retries until connected; requests go on meanwhile."""
         logged = None
-        while not isinstance(link := await http.connect(address, CONNECT_TIMEOUT), http.Connection):
-            if link.why != logged:
-                log.warning("move_waits", field="store.address", why=link.why)
-            logged = link.why
+        while not isinstance(connection := await http.connect(address, CONNECT_TIMEOUT), http.Connection):
+            if connection.why != logged:
+                log.warning("move_waits", field="store.address", why=connection.why)
+            logged = connection.why
             await asyncio.sleep(BACKOFF[-1])
-        self.next_link = link
+        self.next_connection = connection
 
-    def switch_link(self):
+    def switch_connection(self):
         """Replaces the connection by the one to a new address, if that is open."""
-        if self.next_link:
-            if self.link:
-                self.link.close()
-            self.link, self.address, self.next_link = self.next_link, self.next_link.address, None
+        if self.next_connection:
+            if self.connection:
+                self.connection.close()
+            self.connection, self.address, self.next_connection = (
+                self.next_connection,
+                self.next_connection.address,
+                None,
+            )
             log.info("calls_moved")
 
     def log_state(self, failure):
@@ -127,16 +134,18 @@
         """Sends one request; returns Accepted, Rejected, NotSent or Unconfirmed."""
         body = order_codec.request_body(call)
         for _ in range(ATTEMPTS):
-            self.switch_link()
-            if self.link and (not self.link.usable() or self.link.idle_seconds() > MAX_IDLE):
-                self.link.close()
-                self.link = None
-            if not self.link:
-                self.link = await http.connect(self.address, CONNECT_TIMEOUT)
-                if isinstance(self.link, http.NotSent):
-                    result, self.link = self.link, None
+            self.switch_connection()
+            if self.connection and (
+                not self.connection.is_usable() or self.connection.idle_seconds() > MAX_IDLE
+            ):
+                self.connection.close()
+                self.connection = None
+            if not self.connection:
+                self.connection = await http.connect(self.address, CONNECT_TIMEOUT)
+                if isinstance(self.connection, http.NotSent):
+                    result, self.connection = self.connection, None
                     return result
-            result = await self.link.call(
+            result = await self.connection.call(
                 "POST", "/v1/", RESPONSE_TIMEOUT, body, "application/x-www-form-urlencoded"
             )
             if not isinstance(result, http.NotSent):
--- a/garnetpaddle/net/prober.py
+++ b/garnetpaddle/net/prober.py
@@ -86,14 +86,14 @@
         """Closes connections that are closed by the peer, idle too long, or the oldest above the capacity."""
         for target, connection in list(self.connections.items()):
             over_capacity = len(self.connections) + len(self.running) > self.capacity
-            if over_capacity or not connection.usable() or connection.idle_seconds() > MAX_IDLE:
+            if over_capacity or not connection.is_usable() or connection.idle_seconds() > MAX_IDLE:
                 self.connections.pop(target).close()
 
     def evaluate(self, result, connection, target):
         """The ProbeResult of a call; keeps the connection if it can be reused."""
         if not isinstance(result, http.Response):
             return ProbeResult(OUTCOMES_BY_FAILURE.get(result.why, "reset"), {})
-        if not connection.usable() or target in self.connections:
+        if not connection.is_usable() or target in self.connections:
             connection.close()
         else:
             self.connections[target] = connection
--- a/garnetpaddle/net/reload.py
+++ b/garnetpaddle/net/reload.py
@@ -33,7 +33,7 @@
         try:
             # The environment still has the values of the start; a file with other addresses is not an error.
             config = configuration.read(self.path, {})
-        except configuration.Wrong as error:
+        except configuration.ConfigurationError as error:
             log.error("reload_refused", why=str(error))
             return
         changed = [field for field in FIXED_FIELDS if getattr(config, field) != getattr(self.initial, field)]
--- a/garnetpaddle/net/serve.py
+++ b/garnetpaddle/net/serve.py
@@ -62,14 +62,14 @@
     log.error("loop_fault", why=context.get("message", ""), exc_info=context.get("exception"))
 
 
-def build_front_ends(operator_configuration, settings, terms, addresses, decision_loop):
+def build_front_ends(operator_configuration, settings, parameters, addresses, decision_loop):
     """The front ends of the operator's file. Imported here: an assigner without them must not load them."""
-    from garnetpaddle.fronts import FrontEnds
+    from garnetpaddle.front_ends import FrontEnds
 
     front_ends = FrontEnds(
-        operator_configuration, settings, terms, addresses, decision_loop.now, decision_loop.publish
+        operator_configuration, settings, parameters, addresses, decision_loop.now, decision_loop.publish
     )
-    decision_loop.on_batch = front_ends.follow
+    decision_loop.on_batch = front_ends.publish_snapshot
     return front_ends
 
 
@@ -90,10 +90,10 @@
         {c.name: k for k, c in enumerate(settings.categories)}, tuple(settings.azs), settings.specifics.agents
     )
     handlers, addresses, marks = OrderHandlers(None, None, None), TaskAddresses(), MarkTranslator(seed)
-    terms = boot.terms(settings)
+    parameters = boot.derive_parameters(settings)
     if trace:
-        print(f"trace 0 {terms}", flush=True)
-    decision_loop = DecisionLoop(Brain(terms, seed), make_clock(), handlers, settings.quantum, trace)
+        print(f"trace 0 {parameters}", flush=True)
+    decision_loop = DecisionLoop(Brain(parameters, seed), make_clock(), handlers, settings.quantum, trace)
     relay_address, max_sockets = parse_address(config.store.address, "store.address"), config.limits.sockets
     order_sender = OrderSender(relay_address, list(known_names.routes), marks, decision_loop.publish)
     addresses.update(config.known)
@@ -113,7 +113,7 @@
         task_list_watch.subscribe,
     )
     front_ends = (
-        build_front_ends(operator_configuration, settings, terms, addresses, decision_loop)
+        build_front_ends(operator_configuration, settings, parameters, addresses, decision_loop)
         if operator_configuration
         else None
     )
--- a/garnetpaddle/net/task_list_watch.py
+++ b/garnetpaddle/net/task_list_watch.py
@@ -9,10 +9,10 @@
 
 from garnetpaddle import interface as gp
 from garnetpaddle.net import http
-from garnetpaddle.net.configuration import Wrong, parse_address
+from garnetpaddle.net.configuration import ConfigurationError, parse_address
 from garnetpaddle.net.task_list_codec import TaskList, task_lines
 
-PATH = "/discovery/hosts"
+TASK_LIST_PATH = "/discovery/hosts"
 LONG_POLL_MS = 1_000  # long-poll time: a dead agent is noticed soon, and polls cost the agent nothing
 RESPONSE_TIMEOUT = 0.5  # s on top of the long-poll time
 CONNECT_TIMEOUT = 0.5  # s
@@ -39,7 +39,7 @@
                 continue
             try:
                 self.by_task[entry.task] = parse_address(entry.address, "hostPort")
-            except Wrong as error:
+            except ConfigurationError as error:
                 log.warning("address_unreadable", task=entry.task, why=str(error))
 
 
@@ -94,14 +94,14 @@
 
     async def poll(self):
         """Requests the full list at first, then waits for changes; returns ListResponse or ListFailure."""
-        if not self.connection or not self.connection.usable():
+        if not self.connection or not self.connection.is_usable():
             self.close()
             self.connection = await http.connect(self.address, CONNECT_TIMEOUT)
             if isinstance(self.connection, http.NotSent):
                 result, self.connection = self.connection, None
                 return ListFailure(result.why)
         first = self.since is None
-        target = PATH if first else f"{PATH}?since={self.since}&timeout_ms={LONG_POLL_MS}"
+        target = TASK_LIST_PATH if first else f"{TASK_LIST_PATH}?since={self.since}&timeout_ms={LONG_POLL_MS}"
         result = await self.connection.call(
             "GET", target, RESPONSE_TIMEOUT + (0 if first else LONG_POLL_MS / 1_000)
         )
--- a/garnetpaddle/operator/configuration.py
+++ b/garnetpaddle/operator/configuration.py
@@ -191,7 +191,7 @@
                 yield configuration.field_diagnostic("follower", follower.name, "groups", why)
     names_by_uid = {}
     for follower in configuration.followers:
-        uid = uid_of(follower)
+        uid = lb_uid(follower)
         if len(uid) > MAX_UID_BYTES:
             yield configuration.field_diagnostic("follower", follower.name, "uid", "longer than 255 bytes")
         if names_by_uid.setdefault(uid, follower.name) != follower.name:
@@ -238,7 +238,7 @@
             yield configuration.field_diagnostic("dfp", front.name, "follower", why)
 
 
-def uid_of(follower):
+def lb_uid(follower):
     """A follower's LB UID, as bytes."""
     return (follower.uid or follower.name).encode()
 
--- a/garnetpaddle/sasp/messages.py
+++ b/garnetpaddle/sasp/messages.py
@@ -31,8 +31,8 @@
     label: bytes = b""
 
     @classmethod
-    def of(cls, host, port, label="", protocol=6):
-        """Builds it from a textual IPv4 or IPv6 address; raises ValueError."""
+    def from_address(cls, host, port, label="", protocol=6):
+        """From a textual IPv4 or IPv6 address; raises ValueError."""
         ip = ipaddress.ip_address(host)
         packed = IPV4_MAPPED_PREFIX + ip.packed if ip.version == 4 else ip.packed
         return cls(protocol, port, packed, label.encode())
--- a/garnetpaddle/sasp/session.py
+++ b/garnetpaddle/sasp/session.py
@@ -433,7 +433,7 @@
                 sent |= reply.wanted
         drained = [
             task
-            for task in self.delivery.unsent_drains(table.closed)
+            for task in self.delivery.unsent_drains(table.not_ready_since)
             if self.sent_in_all_groups(sent, task, table)
         ]
         if sent:
--- a/garnetpaddle/book/publisher.py
+++ b/garnetpaddle/snapshots/publisher.py
@@ -2,14 +2,14 @@
 
 import asyncio
 
-from garnetpaddle.book.snapshot import EMPTY
+from garnetpaddle.snapshots.snapshot import EMPTY_SNAPSHOT
 
 
 class SnapshotPublisher:
     """Not thread-safe: only the decision loop's asyncio task publishes, on the event loop's thread."""
 
     def __init__(self):
-        self.snapshot, self.next_publication = EMPTY, None
+        self.snapshot, self.next_publication = EMPTY_SNAPSHOT, None
 
     def publish(self, snapshot):
         """Publishes a snapshot and wakes all waiters; does nothing if it is the published object."""
--- a/garnetpaddle/book/snapshot.py
+++ b/garnetpaddle/snapshots/snapshot.py
@@ -15,7 +15,9 @@
     """The known state of a task."""
 
     task: str
-    state: str  # "ready", "draining" or "gone"; "ready" after a drop from the list that does not bind
+    state: (
+        str  # "ready", "draining" or "gone"; "ready" after a drop from the list that does not count as gone
+    )
     zone: str
     kind: str
     size: float
@@ -23,17 +25,17 @@
     since: int  # when its present state, or its present start, was first received
     address: tuple[str, int] | None = None
 
-    def closed(self):
+    def is_not_ready(self):
         """Whether no new calls may be sent to it: it drains or is gone."""
         return self.state != "ready"
 
 
 @dataclass(frozen=True, slots=True)
 class Level:
-    """part: how much of a route is admitted; tries: when calls are retried, "none", "on proof" or "once"."""
+    """admitted: how much of a route; retry_mode: when calls are retried, "none", "on proof" or "once"."""
 
-    part: float
-    tries: str
+    admitted: float
+    retry_mode: str
 
 
 @dataclass(frozen=True, slots=True)
@@ -58,26 +60,28 @@
     generation: int
     at: int
     tables: Mapping[int, Table] = field(default_factory=empty_mapping)
-    bound: Mapping[int, int] = field(default_factory=empty_mapping)  # proxy -> table
+    table_by_proxy: Mapping[int, int] = field(default_factory=empty_mapping)  # proxy -> table
     withdrawn: tuple[str, ...] = ()  # tasks excluded from all tables
     tasks: Mapping[str, TaskRecord] = field(default_factory=empty_mapping)
     tasks_by_address: Mapping[tuple[str, int], str] = field(default_factory=empty_mapping)
-    mark: int = 0  # of the last seal
-    steered: bool = False  # whether weights of existing lines were changed since this start
-    closed: Mapping[str, int] = field(
+    mark: int = 0  # of the last acknowledgement request
+    weights_changed: bool = False  # whether weights of existing lines were changed since this start
+    not_ready_since: Mapping[str, int] = field(
         default_factory=empty_mapping
     )  # task -> since when it drains or is gone
 
     def table(self, proxy):
         """The table that a proxy is bound to; None if it is unbound, or the table never had a line."""
-        return self.tables.get(self.bound.get(proxy))
+        return self.tables.get(self.table_by_proxy.get(proxy))
 
-    def usable_lines(self, proxy):
-        """The lines that a proxy may pick: task -> weight; None if it has no table."""
+    def usable_weights(self, proxy):
+        """The weights of the tasks that a proxy may call: task -> weight; None if it has no table."""
         table = self.table(proxy)
         if table is None:
             return None
-        return {k: w for k, w in table.lines.items() if k not in self.closed and k not in self.withdrawn}
+        return {
+            k: w for k, w in table.lines.items() if k not in self.not_ready_since and k not in self.withdrawn
+        }
 
 
-EMPTY = Snapshot(0, 0)
+EMPTY_SNAPSHOT = Snapshot(0, 0)
--- a/garnetpaddle/book/snapshot_builder.py
+++ b/garnetpaddle/snapshots/snapshot_builder.py
@@ -5,9 +5,9 @@
 from types import MappingProxyType
 
 from garnetpaddle import interface as gp
-from garnetpaddle.book.snapshot import EMPTY, Level, Table, TaskRecord
+from garnetpaddle.snapshots.snapshot import EMPTY_SNAPSHOT, Level, Table, TaskRecord
 
-CLOSED_TASK_RETENTION = 6_000_000  # 10 min for which a task that drains or is gone is kept
+NOT_READY_TASK_RETENTION = 6_000_000  # 10 min for which a task that drains or is gone is kept
 MAX_PAST_WEIGHTS = 4  # kept per line: the most orders of one line that may be unconfirmed at a time
 
 
@@ -71,15 +71,15 @@
         either may be in effect."""
         for route in routes:
             previous = self.previous_levels.get(route) or Level(1.0, "none")
-            self.levels[route] = Level(min(self.levels[route].part, previous.part), "none")
+            self.levels[route] = Level(min(self.levels[route].admitted, previous.admitted), "none")
 
 
 class SnapshotBuilder:
     """dropped_counts_as_gone: as in interface.Parameters."""
 
     def __init__(self, dropped_counts_as_gone=True):
-        self.dropped_counts_as_gone, self.snapshot = dropped_counts_as_gone, EMPTY
-        self.tables, self.bound, self.withdrawn, self.tasks, self.addresses = {}, {}, {}, {}, {}
+        self.dropped_counts_as_gone, self.snapshot = dropped_counts_as_gone, EMPTY_SNAPSHOT
+        self.tables, self.table_by_proxy, self.withdrawn, self.tasks, self.addresses = {}, {}, {}, {}, {}
         self.mark, self.newest_table, self.weight_changes = 0, None, 0
         self.changed_parts = set()  # of the snapshot, by this batch; never iterated, as its order is random
 
@@ -105,8 +105,8 @@
             self.drop_abandoned_tables()
             tables = {n: table.build(n) for n, table in self.tables.items() if table.lines}
             parts["tables"] = MappingProxyType(tables)
-        if "bound" in self.changed_parts:
-            parts["bound"] = MappingProxyType(dict(self.bound))
+        if "table_by_proxy" in self.changed_parts:
+            parts["table_by_proxy"] = MappingProxyType(dict(self.table_by_proxy))
         if "withdrawn" in self.changed_parts:
             parts["withdrawn"] = tuple(self.withdrawn)
         if "tasks" in self.changed_parts:
@@ -116,26 +116,28 @@
             generation=self.snapshot.generation + 1,
             at=now,
             mark=self.mark,
-            steered=self.weight_changes > 1,
+            weights_changed=self.weight_changes > 1,
             **parts,
         )
 
     def drop_abandoned_tables(self):
         """Removes abandoned tables that no proxy is bound to any more."""
-        bound = {number: True for number in self.bound.values()}
+        bound_tables = {number: True for number in self.table_by_proxy.values()}
         self.tables = {
             n: table
             for n, table in self.tables.items()
-            if n in bound or n == self.newest_table or not table.abandoned
+            if n in bound_tables or n == self.newest_table or not table.abandoned
         }
 
     def build_tasks(self):
         """Builds the parts that describe tasks. An address shared by two tasks maps to the ready one."""
-        ready_last = sorted(self.tasks.items(), key=lambda item: not item[1].closed())
+        ready_last = sorted(self.tasks.items(), key=lambda item: not item[1].is_not_ready())
         by_address = {canonical(t.address): k for k, t in ready_last if t.address}
         return {
             "tasks": MappingProxyType(dict(self.tasks)),
-            "closed": MappingProxyType({k: t.since for k, t in self.tasks.items() if t.closed()}),
+            "not_ready_since": MappingProxyType(
+                {k: t.since for k, t in self.tasks.items() if t.is_not_ready()}
+            ),
             "tasks_by_address": MappingProxyType(by_address),
         }
 
@@ -161,8 +163,8 @@
             table.abandoned = True
             for line in table.lines.values():
                 line.in_doubt = True
-        self.bound = {}
-        self.changed_parts.update(("tables", "bound"))
+        self.table_by_proxy = {}
+        self.changed_parts.update(("tables", "table_by_proxy"))
 
     def apply_list(self, now, event):
         """Applies a full task list, or changes of it."""
@@ -203,8 +205,10 @@
                 self.changed_parts.add("tasks")
 
     def forget_expired_tasks(self, now):
-        """Removes tasks that were closed for the retention time and have no line in effect."""
-        expired = [k for k, t in self.tasks.items() if t.closed() and now - t.since >= CLOSED_TASK_RETENTION]
+        """Removes tasks that were not ready for the retention time and have no line in effect."""
+        expired = [
+            k for k, t in self.tasks.items() if t.is_not_ready() and now - t.since >= NOT_READY_TASK_RETENTION
+        ]
         for k in expired:
             if not any(k in table.lines and table.lines[k].weight() for table in self.tables.values()):
                 for table in self.tables.values():
@@ -220,14 +224,14 @@
             case gp.SetWeight(table=number, task=task, weight=weight):
                 self.set_line(number, task, weight)
             case gp.BindProxy(proxy=proxy, table=number):
-                self.bound[proxy] = number
-                self.changed_parts.add("bound")
+                self.table_by_proxy[proxy] = number
+                self.changed_parts.add("table_by_proxy")
             case gp.WithdrawTask(task=task, withdrawn=withdrawn):
                 self.withdrawn.pop(task, None)
                 self.withdrawn |= {task: True} if withdrawn else {}
                 self.changed_parts.add("withdrawn")
-            case gp.SetAdmission(table=number, routes=routes, level=part, retry_mode=retry_mode):
-                self.table(number).set_levels(routes, Level(part, retry_mode))
+            case gp.SetAdmission(table=number, routes=routes, level=admitted, retry_mode=retry_mode):
+                self.table(number).set_levels(routes, Level(admitted, retry_mode))
                 self.changed_parts.add("tables")
             case gp.RequestAcknowledgement(mark=mark):
                 self.mark = mark
@@ -257,8 +261,8 @@
 
     def unbind(self, proxy):
         """Removes a proxy's binding, if any."""
-        if self.bound.pop(proxy, None) is not None:
-            self.changed_parts.add("bound")
+        if self.table_by_proxy.pop(proxy, None) is not None:
+            self.changed_parts.add("table_by_proxy")
 
     def table(self, number):
         """The builder of a table; created if missing."""
--- a/garnetpaddle/wirehost/host.py
+++ b/garnetpaddle/wirehost/host.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from garnetpaddle.boot import terms
+from garnetpaddle.boot import derive_parameters
 from garnetpaddle.brain import Brain
 from garnetpaddle.wirehost import translate, wire
 
@@ -14,7 +14,7 @@
     """One assigner instance: its Brain, and the numbers of its routes by name."""
 
     def __init__(self, boot):
-        self.brain = Brain(terms(boot.conf), boot.rng_seed)
+        self.brain = Brain(derive_parameters(boot.conf), boot.rng_seed)
         self.routes = {c.name: k for k, c in enumerate(boot.conf.categories)}
 
 
--- a/garnetpaddle/wirehost/translate.py
+++ b/garnetpaddle/wirehost/translate.py
@@ -1,7 +1,7 @@
 """Conversion of the simulator's messages to the interface's events, and of orders to messages."""
 
 from garnetpaddle import interface as gp
-from garnetpaddle.boot import UnknownValue, lookup, make_task_line, normalize_load, tenths
+from garnetpaddle.boot import UnknownValue, lookup, make_task_line, normalize_load, seconds_to_tenths_of_ms
 from garnetpaddle.wirehost import wire
 
 STATES = {"on": "ready", "fading": "draining", "off": "gone"}
@@ -27,7 +27,7 @@
             entry.pod,
             lookup(STATES, entry.status, "elements.status"),
             entry.size,
-            tenths(entry.started_at),
+            seconds_to_tenths_of_ms(entry.started_at),
             entry.machine,
         )
         for entry in entries
@@ -47,7 +47,10 @@
         case wire.Probed():
             outcome = OUTCOMES.get(message.verdict, "other")
             return gp.ProbeFinished(
-                message.task, tenths(message.cost_time), outcome, normalize_load(message.usage, LOADS)
+                message.task,
+                seconds_to_tenths_of_ms(message.cost_time),
+                outcome,
+                normalize_load(message.usage, LOADS),
             )
         case wire.Connected():
             return gp.ProxyJoined(
@@ -63,7 +66,7 @@
                 message.tries_n,
                 message.unanswered,
                 latency,
-                tenths(message.span),
+                seconds_to_tenths_of_ms(message.span),
                 normalize_load(message.usage, LOADS),
             )
         case wire.Demand():
@@ -72,10 +75,12 @@
                 lookup(routes, message.band, "band"),
                 message.tries_n,
                 message.unanswered,
-                tenths(message.span),
+                seconds_to_tenths_of_ms(message.span),
             )
         case wire.Installed():
-            return gp.OrdersApplied(message.forwarder, message.gen, tenths(message.cost_time))
+            return gp.OrdersApplied(
+                message.forwarder, message.gen, seconds_to_tenths_of_ms(message.cost_time)
+            )
     return None
 
 
--- a/garnetpaddle/wirehost/wire.py
+++ b/garnetpaddle/wirehost/wire.py
@@ -125,7 +125,7 @@
 
 
 class Installed(ForInstance, tag="INSTALLED"):
-    """A proxy's acknowledgement of a seal."""
+    """A proxy's acknowledgement of a mark."""
 
     forwarder: int
     gen: int
--- a/tests/front_end_harness.py
+++ b/tests/front_end_harness.py
@@ -9,7 +9,7 @@
 from garnetpaddle import boot
 from garnetpaddle import interface as gp
 from garnetpaddle import operator as op
-from garnetpaddle.fronts import FrontEnds
+from garnetpaddle.front_ends import FrontEnds
 
 SETTINGS = msgspec.convert(
     {
@@ -72,7 +72,7 @@
         )
         if not restarted:
             self.front_ends.registry.leases.started_at = -1_000_000
-        self.front_ends.follow(
+        self.front_ends.publish_snapshot(
             self.now, [gp.TaskListReceived("full", tuple(line(t) for t in tasks))], self.all_orders
         )
 
@@ -95,7 +95,7 @@
                 case gp.WithdrawTask():
                     self.withdrawn_tasks[order.task] = order.withdrawn
         if self.front_ends:
-            self.front_ends.follow(self.now, events, self.last)
+            self.front_ends.publish_snapshot(self.now, events, self.last)
 
     def native_weights_by_port(self):
         """Returns the relay's table as port -> weight."""
--- a/tests/test_advice.py
+++ b/tests/test_advice.py
@@ -17,10 +17,10 @@
     member_weights,
     refusal_reason,
 )
-from garnetpaddle.advice.leases import FIRST_FOLLOWER_NUMBER
+from garnetpaddle.advice.leases import FIRST_FOLLOWER_PROXY_NUMBER
 from garnetpaddle.advice.update_delivery import drain_allowance
 from garnetpaddle.advice.weight_scale import MAX_WEIGHT
-from garnetpaddle.book import Level, SnapshotBuilder
+from garnetpaddle.snapshots import Level, SnapshotBuilder
 
 LINES = st.dictionaries(st.integers(0, 200), st.floats(0.005, 80.0), min_size=1, max_size=40)
 
@@ -86,7 +86,7 @@
         self.snapshot = self.snapshot_builder.update(self.now, events, orders, addresses)
 
     def record_step(self, text, admitted=True):
-        table = self.weight_tables.table_for(self.snapshot, FIRST_FOLLOWER_NUMBER)
+        table = self.weight_tables.table_for(self.snapshot, FIRST_FOLLOWER_PROXY_NUMBER)
         self.last_sent = member_weights(self.members, table, self.last_sent, admitted)
         shown = [
             f"{k}={weight.weight}"
@@ -107,7 +107,7 @@
 def test_member_weights_of_a_group():
     advice = AdviceTrace()
     advice.record_step("task list known, no table bound")
-    advice.apply_batch([], [gp.BindProxy(FIRST_FOLLOWER_NUMBER, 1)])
+    advice.apply_batch([], [gp.BindProxy(FIRST_FOLLOWER_PROXY_NUMBER, 1)])
     advice.record_step("bound to a table without any weight")
     advice.apply_batch([], [gp.SetWeight(1, "a", 1.0), gp.SetWeight(1, "b", 0.5), gp.SetWeight(1, "c", 1.5)])
     advice.record_step("table of this process, not adjusted yet")
@@ -121,7 +121,7 @@
     advice.record_step("all orders in doubt: last advice stands")
     advice.apply_batch([changes(line("a", "gone"))])
     advice.record_step("a is gone meanwhile")
-    advice.apply_batch([], [gp.SetWeight(2, "c", 1.0), gp.BindProxy(FIRST_FOLLOWER_NUMBER, 2)])
+    advice.apply_batch([], [gp.SetWeight(2, "c", 1.0), gp.BindProxy(FIRST_FOLLOWER_PROXY_NUMBER, 2)])
     advice.record_step("bound to a new table")
     advice.apply_batch([changes(line("a", started=99.0))], [gp.SetWeight(2, "a", 0.012)])
     advice.record_step("a has restarted and is cold")
@@ -137,7 +137,7 @@
 
 def test_forgotten_task_is_replaced_by_the_next_task_at_its_address():
     advice = AdviceTrace("a")
-    advice.apply_batch([], [gp.SetWeight(1, "a", 1.0), gp.BindProxy(FIRST_FOLLOWER_NUMBER, 1)])
+    advice.apply_batch([], [gp.SetWeight(1, "a", 1.0), gp.BindProxy(FIRST_FOLLOWER_PROXY_NUMBER, 1)])
     advice.record_step("a has a weight")
     advice.apply_batch([changes(line("a", "gone"))], [gp.SetWeight(1, "a", 0.0)])
     advice.record_step("a is gone")
--- a/tests/test_codecs.py
+++ b/tests/test_codecs.py
@@ -180,7 +180,7 @@
     encoded = []
     for limit in (60_000, 60, 1):
         encoded.append(f"-- at most {limit} bytes per request")
-        for call in order_codec.split_into_calls(ORDERS, ["read", "write"], marks, limit):
+        for call in order_codec.split_into_requests(ORDERS, ["read", "write"], marks, limit):
             encoded.append(";".join(text for _, text in call))
     encoded.append(order_codec.request_body(call).decode())
     matches("relay_requests", encoded)
@@ -288,15 +288,15 @@
     ],
 )
 def test_an_invalid_field_is_named(tmp_path, keys, value, field):
-    with pytest.raises(configuration.Wrong, match=field.replace("$", r"\$")):
+    with pytest.raises(configuration.ConfigurationError, match=field.replace("$", r"\$")):
         configuration.read(written(tmp_path, (keys, value)), {})
 
 
 def test_environment_must_agree_with_the_file(tmp_path):
-    with pytest.raises(configuration.Wrong, match="ROUTER_NAME"):
+    with pytest.raises(configuration.ConfigurationError, match="ROUTER_NAME"):
         configuration.read(written(tmp_path), {"ROUTER_NAME": "n4"})
-    with pytest.raises(configuration.Wrong, match="ROUTER_CONFIG"):
+    with pytest.raises(configuration.ConfigurationError, match="ROUTER_CONFIG"):
         configuration.read(str(tmp_path / "none.json"), {})
     (tmp_path / "half.json").write_text('{"name":')
-    with pytest.raises(configuration.Wrong, match="ROUTER_CONFIG"):
+    with pytest.raises(configuration.ConfigurationError, match="ROUTER_CONFIG"):
         configuration.read(str(tmp_path / "half.json"), {})
--- a/tests/test_dfp.py
+++ b/tests/test_dfp.py
@@ -7,7 +7,7 @@
 from test_sasp import bytes_of
 
 from garnetpaddle import interface as gp
-from garnetpaddle.advice.leases import FIRST_FOLLOWER_NUMBER
+from garnetpaddle.advice.leases import FIRST_FOLLOWER_PROXY_NUMBER
 from garnetpaddle.advice.session_events import (
     BytesAcknowledged,
     CloseConnection,
@@ -21,7 +21,6 @@
     WriteBytes,
 )
 from garnetpaddle.advice.session_registry import Follower, GroupRoute, SessionRegistry
-from garnetpaddle.book import SnapshotBuilder
 from garnetpaddle.dfp import codec
 from garnetpaddle.dfp.codec import (
     BindIdReport,
@@ -34,6 +33,7 @@
     Preference,
 )
 from garnetpaddle.dfp.session import Session
+from garnetpaddle.snapshots import SnapshotBuilder
 
 GOLDEN = {
     "preference": (
@@ -202,7 +202,9 @@
                     if not isinstance(event, gp.OrdersApplied):
                         self.record(f"brain: {type(event).__name__} {event.proxy}")
                     orders = (
-                        [gp.BindProxy(FIRST_FOLLOWER_NUMBER, 1)] if isinstance(event, gp.ProxyJoined) else []
+                        [gp.BindProxy(FIRST_FOLLOWER_PROXY_NUMBER, 1)]
+                        if isinstance(event, gp.ProxyJoined)
+                        else []
                     )
                     self.snapshot_builder.update(self.now, [event], orders)
                 case LogLine("manager_state" | "message_unreadable" as name, fields):
--- a/tests/test_fronts.py
+++ b/tests/test_fronts.py
@@ -16,7 +16,7 @@
 
 from garnetpaddle import interface as gp
 from garnetpaddle import operator as op
-from garnetpaddle.advice.leases import FIRST_FOLLOWER_NUMBER
+from garnetpaddle.advice.leases import FIRST_FOLLOWER_PROXY_NUMBER
 from garnetpaddle.client import DfpClient, SaspClient, Update, Weight, merge
 from garnetpaddle.sasp import codec
 from garnetpaddle.sasp import messages as m
@@ -49,7 +49,10 @@
 
     async def __call__(self):
         snapshot = self.harness.front_ends.publisher.snapshot
-        if snapshot.generation == self.generation or snapshot.bound.get(FIRST_FOLLOWER_NUMBER) is None:
+        if (
+            snapshot.generation == self.generation
+            or snapshot.table_by_proxy.get(FIRST_FOLLOWER_PROXY_NUMBER) is None
+        ):
             return
         self.generation = snapshot.generation
         native_weights = self.harness.native_weights_by_port()
@@ -104,7 +107,7 @@
             # No order for the follower may reach the relay.
             sent = [o for reply in harness.platform_replies for o in reply]
             assert sent and not any(
-                isinstance(o, gp.BindProxy) and o.proxy >= FIRST_FOLLOWER_NUMBER for o in sent
+                isinstance(o, gp.BindProxy) and o.proxy >= FIRST_FOLLOWER_PROXY_NUMBER for o in sent
             )
             return comparison.compared, client.log
 
@@ -199,7 +202,7 @@
             ]
             reader, writer = await asyncio.open_connection(*addresses["sasp"], limit=1_024)
             name = m.GroupName(b"not_reading", b"status")
-            members = tuple(m.MemberData.of(*at) for at in harness.members("abcdef"))
+            members = tuple(m.MemberData.from_address(*at) for at in harness.members("abcdef"))
             writer.write(codec.encode(m.SetLbState(1, b"not_reading", 0, True, False, False)))
             writer.write(codec.encode(m.Register(2, True, ((name, members),))))
             await until(lambda: len(harness.follower_events) == 3)
@@ -215,7 +218,7 @@
                 await asyncio.sleep(0.002)
                 for event in harness.follower_events:
                     if isinstance(event, gp.ProxyLeft):
-                        leave_delays[event.proxy - FIRST_FOLLOWER_NUMBER] = harness.now - drained_at
+                        leave_delays[event.proxy - FIRST_FOLLOWER_PROXY_NUMBER] = harness.now - drained_at
             assert sorted(leave_delays) == [1, 2] and max(leave_delays.values()) < 30_000
             writer.transport.abort()
             # The confirming client stays connected; the silent one is refused at first, then admitted.
@@ -272,7 +275,9 @@
             reader, writer = await asyncio.open_connection(*addresses["sasp"])
             name = m.GroupName(b"lb", b"status")
             whole = codec.encode(
-                m.Register(7, True, ((name, (m.MemberData.of(*harness.task_addresses.by_task["a"]),)),))
+                m.Register(
+                    7, True, ((name, (m.MemberData.from_address(*harness.task_addresses.by_task["a"]),)),)
+                )
             )
             for byte in whole:
                 writer.write(bytes([byte]))
@@ -299,7 +304,9 @@
         async with harness.serving() as addresses:
             name = m.GroupName(b"lb", b"status")
             whole = codec.encode(
-                m.Register(7, True, ((name, (m.MemberData.of(*harness.task_addresses.by_task["a"]),)),))
+                m.Register(
+                    7, True, ((name, (m.MemberData.from_address(*harness.task_addresses.by_task["a"]),)),)
+                )
             )
             _, writer = await asyncio.open_connection(*addresses["sasp"])
             writer.write(whole + whole[:size])
@@ -334,7 +341,7 @@
                     gp.SetWeight(1, t, 0.5 + (n + k) % 10 / 10) for k, t in enumerate("abcdefghij")
                 ]
                 harness.now += 1_000
-                harness.front_ends.follow(harness.now, [], harness.last)
+                harness.front_ends.publish_snapshot(harness.now, [], harness.last)
                 harness.front_ends.manager.timers.run_due() if harness.front_ends.manager.timers else None
                 await asyncio.sleep(0.005)
             after = [c.state_machine.serial - b for c, b in zip(clients, before, strict=True)]
@@ -458,7 +465,7 @@
             await play.advance_with_io(0.5)
             await until(lambda: not play.front_ends.manager.connections)
             await play.advance_with_io(3)
-            assert FIRST_FOLLOWER_NUMBER not in play.brain.proxies and play.brain.tables[0].weights
+            assert FIRST_FOLLOWER_PROXY_NUMBER not in play.brain.proxies and play.brain.tables[0].weights
             await until(lambda: any("connect:" in x for x in client.log))
             assert weights_by_port(client)  # the last advice stays in force
 
@@ -505,7 +512,7 @@
     loaded = {x.rsplit("|", 1)[-1].strip() for x in import_log.splitlines() if x.startswith("import time:")}
     assert "garnetpaddle.brain" in loaded and serve.returncode == 0
     optional_modules = {
-        f"garnetpaddle.{name}" for name in ("operator", "book", "advice", "sasp", "dfp", "fronts")
+        f"garnetpaddle.{name}" for name in ("operator", "snapshots", "advice", "sasp", "dfp", "front_ends")
     }
     assert (
         loaded & (optional_modules | {"click", "rich.console", "hcl2", "lark", "ddsketch"}) == set()
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -635,7 +635,7 @@
             sender.submit([A])
             await until(lambda: old.said)
             sender.move(new.address)
-            await until(lambda: sender.next_link)
+            await until(lambda: sender.next_connection)
             sender.submit([B])
             await until(lambda: new.said)
             running.cancel()
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -539,7 +539,7 @@
                 sender.submit([B])
                 await until(lambda: len(old_peer.said) == 2)
                 old_peer.writers[0].transport.abort()  # the reconnect does not use the new address either
-                await until(lambda: not sender.link.usable())
+                await until(lambda: not sender.connection.is_usable())
                 sender.submit([A, B])
                 await until(lambda: len(old_peer.said) == 3)
                 sender.move_task.cancel()
@@ -579,7 +579,7 @@
             sender = OrderSender(relay.address, ["read"], MarkTranslator(0), events.append)
             running = asyncio.create_task(sender.run())
             sender.submit([A])
-            await until(lambda: sender.link and not sender.link.usable())
+            await until(lambda: sender.connection and not sender.connection.is_usable())
             sender.submit([B])
             await until(lambda: len(relay.said) == 2)
             running.cancel()
@@ -593,13 +593,13 @@
     """A proxy left while it was being bound, so the call was partly taken. A fence to all proxies in the next
     call would send each proxy a message that the Brain does not account for: three such calls in a row
     exceeded the queue limit."""
-    fence, put, bind, after = parts = order_codec.split_into_calls(
+    fence, put, bind, after = parts = order_codec.split_into_requests(
         [A, gp.BindProxy(4, 1), gp.BindProxy(5, 1), gp.RequestAcknowledgement(3, False)],
         ["read"],
         MarkTranslator(0),
     )[0]
-    assert [text for _, text in order_codec.remaining_after(parts, 2)] == ["fence,3,0", "attach,5,1,*"]
-    assert order_codec.remaining_after(parts, 3) == [] and [text for _, text in parts] == [
+    assert [text for _, text in order_codec.remaining_orders(parts, 2)] == ["fence,3,0", "attach,5,1,*"]
+    assert order_codec.remaining_orders(parts, 3) == [] and [text for _, text in parts] == [
         "fence,3,0",
         "put,1,s-a,1.0",
         "attach,4,1,*",
--- a/tests/test_sasp.py
+++ b/tests/test_sasp.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 
 from garnetpaddle import interface as gp
-from garnetpaddle.advice.leases import FIRST_FOLLOWER_NUMBER
+from garnetpaddle.advice.leases import FIRST_FOLLOWER_PROXY_NUMBER
 from garnetpaddle.advice.session_events import (
     BytesAcknowledged,
     CloseConnection,
@@ -25,11 +25,11 @@
     WriteBytes,
 )
 from garnetpaddle.advice.session_registry import Follower, GroupRoute, SessionRegistry
-from garnetpaddle.book import SnapshotBuilder
 from garnetpaddle.sasp import codec, constants
 from garnetpaddle.sasp import messages as m
 from garnetpaddle.sasp.constants import MessageType, ResponseCode
 from garnetpaddle.sasp.session import Session
+from garnetpaddle.snapshots import SnapshotBuilder
 
 GOLDEN = {
     # A registration by a balancer: one group, one member.
@@ -40,7 +40,9 @@
        3010 001a 06 1388                # member data, length 26, TCP, port 5000
          00000000000000000000ffff0a010012  # 10.1.0.18, mapped
          02 6e31                        # label "n1"
-    """: m.Register(7, True, ((m.GroupName(b"LB1", b"is"), (m.MemberData.of("10.1.0.18", 5000, "n1"),)),)),
+    """: m.Register(
+        7, True, ((m.GroupName(b"LB1", b"is"), (m.MemberData.from_address("10.1.0.18", 5000, "n1"),)),)
+    ),
     """2010 000d 01 00000012 00000007   # header of a message of 18 bytes, id 7
        1015 0005 45                     # registration reply, length 5, code 0x45
     """: m.Reply(7, MessageType.REGISTER_REPLY, ResponseCode.LB_UNKNOWN_YET),
@@ -66,7 +68,12 @@
         9,
         ResponseCode.SUCCESS,
         5,
-        ((m.GroupName(b"LB1", b"is"), (m.WeightEntry(m.MemberData.of("2001:db8::1", 443), 10_000, 0x0D),)),),
+        (
+            (
+                m.GroupName(b"LB1", b"is"),
+                (m.WeightEntry(m.MemberData.from_address("2001:db8::1", 443), 10_000, 0x0D),),
+            ),
+        ),
     ),
     # Send Weights with a quiesced member; lengths include nested components.
     """2010 000d 01 00000044 00000002
@@ -78,7 +85,12 @@
          02 07 0000                     # state 2, flags contact, quiesce, registration; weight 0
     """: m.SendWeights(
         2,
-        ((m.GroupName(b"LB1", b"is"), (m.WeightEntry(m.MemberData.of("2001:db8::1", 443), 0, 0x07, 2),)),),
+        (
+            (
+                m.GroupName(b"LB1", b"is"),
+                (m.WeightEntry(m.MemberData.from_address("2001:db8::1", 443), 0, 0x07, 2),),
+            ),
+        ),
         inclusive_lengths=True,
     ),
     """2010 000d 01 00000017 00000003
@@ -94,7 +106,12 @@
     """: m.SetMemberState(
         4,
         True,
-        ((m.GroupName(b"LB1", b"is"), (m.StateEntry(m.MemberData.of("10.1.0.18", 5000, "n1"), 9, True),)),),
+        (
+            (
+                m.GroupName(b"LB1", b"is"),
+                (m.StateEntry(m.MemberData.from_address("10.1.0.18", 5000, "n1"), 9, True),),
+            ),
+        ),
     ),
 }
 
@@ -174,16 +191,19 @@
 
 
 def test_oversized_message_raises_encode_error():
-    name, members = m.GroupName(b"x", b"y"), tuple(m.MemberData.of("10.0.0.1", k) for k in range(3_000))
+    name, members = (
+        m.GroupName(b"x", b"y"),
+        tuple(m.MemberData.from_address("10.0.0.1", k) for k in range(3_000)),
+    )
     assert codec.encode(m.Register(1, True, ((name, members),)))
     with pytest.raises(codec.EncodeError):
         codec.encode(m.Register(1, True, ((name, members),), inclusive_lengths=True))
 
 
 def test_addresses_match_the_task_list():
-    assert m.MemberData.of("10.1.0.18", 1).endpoint == ("10.1.0.18", 1)
+    assert m.MemberData.from_address("10.1.0.18", 1).endpoint == ("10.1.0.18", 1)
     assert m.MemberData(6, 1, bytes(12) + bytes([10, 1, 0, 18])).endpoint == ("10.1.0.18", 1)
-    assert m.MemberData.of("::1", 1).endpoint == ("::1", 1)
+    assert m.MemberData.from_address("::1", 1).endpoint == ("::1", 1)
     assert all(source in ("memory", "derived") for _, _, source in constants.FIELD_SOURCES)
 
 
@@ -246,7 +266,7 @@
             self.dispatch(connection, SnapshotPublished(snapshot))
 
     def bind(self, *proxies):
-        self.apply_batch([], [gp.BindProxy(proxy, 1) for proxy in proxies or (FIRST_FOLLOWER_NUMBER,)])
+        self.apply_batch([], [gp.BindProxy(proxy, 1) for proxy in proxies or (FIRST_FOLLOWER_PROXY_NUMBER,)])
 
     def advance(self, seconds):
         """Advances the clock and fires due timers."""
@@ -354,7 +374,7 @@
 
 
 def member_data(port, label="", host="10.0.0.1"):
-    return m.MemberData.of(host, port, label)
+    return m.MemberData.from_address(host, port, label)
 
 
 def register(*ports, group="status", uid="LB1", lb=True, id=1, **options):
@@ -503,7 +523,7 @@
     harness = SessionHarness(with_weights=False, started_at=995_000).open()
     harness.receive(lb_state())
     harness.receive(register(1, 2, 3))
-    assert harness.published_events == [gp.ProxyJoined(FIRST_FOLLOWER_NUMBER, 40.0, False, "z", True)]
+    assert harness.published_events == [gp.ProxyJoined(FIRST_FOLLOWER_PROXY_NUMBER, 40.0, False, "z", True)]
     harness.receive(GET_WEIGHTS)
     harness.note("bound before the table has any weight")
     harness.bind()
@@ -634,7 +654,7 @@
     harness.open(2)
     harness.receive(lb_state(uid="LB2"), 2)
     harness.receive(register(1, 2, uid="LB2"), 2)
-    harness.bind(FIRST_FOLLOWER_NUMBER, FIRST_FOLLOWER_NUMBER + 1)
+    harness.bind(FIRST_FOLLOWER_PROXY_NUMBER, FIRST_FOLLOWER_PROXY_NUMBER + 1)
     harness.advance(2)
     harness.apply_batch([changes(line("a", "draining"))])
     harness.receive(lb_state(), 1)
--- a/tests/test_book.py
+++ b/tests/test_snapshots.py
@@ -1,4 +1,4 @@
-"""The book: snapshots built from events and orders."""
+"""Snapshots built from events and orders."""
 
 import asyncio
 
@@ -7,12 +7,12 @@
 from hypothesis import strategies as st
 
 from garnetpaddle import interface as gp
-from garnetpaddle.book import SnapshotBuilder, SnapshotPublisher
-from garnetpaddle.book.snapshot_builder import CLOSED_TASK_RETENTION
+from garnetpaddle.snapshots import SnapshotBuilder, SnapshotPublisher
+from garnetpaddle.snapshots.snapshot_builder import NOT_READY_TASK_RETENTION
 
 
 def describe(snapshot, proxy=1):
-    lines = snapshot.usable_lines(proxy)
+    lines = snapshot.usable_weights(proxy)
     shown = "unbound" if lines is None else " ".join(f"{k}={w:g}" for k, w in lines.items()) or "nothing"
     in_doubt = [k for t in snapshot.tables.values() for k in t.in_doubt]
     return f"{snapshot.generation}: {shown}" + (f"; in doubt {' '.join(in_doubt)}" if in_doubt else "")
@@ -58,14 +58,14 @@
     )
     recorder.step("all orders are in doubt", [gp.ChannelStateUnknown()])
     recorder.step("a new table, and a bind to it", [], [gp.SetWeight(2, "a", 1.5), gp.BindProxy(1, 2)])
-    matches("book_lost", recorder.trace)
+    matches("snapshot_lost", recorder.trace)
 
 
 def test_tasks_that_leave_the_list_are_in_no_table():
     recorder = BuilderTrace()
     recorder.step("two lines", [READY], [LINE_A, LINE_B, gp.BindProxy(1, 1)])
     snapshot = recorder.step("a drains, before any order for it", [changes(line("a", "draining"))])
-    assert snapshot.closed == {"a": 20}
+    assert snapshot.not_ready_since == {"a": 20}
     recorder.step("the list drops a: it stays draining", [changes(line("a", "gone"))])
     recorder.step("a starts anew", [changes(line("a", started=5.0))])
     recorder.step("a full list without b", [gp.TaskListReceived("full", (line("a", started=5.0),))])
@@ -77,16 +77,16 @@
         "that order is lost: a stays withdrawn", [gp.OrdersLost((gp.WithdrawTask("a", True),), True)]
     )
     recorder.step("the proxy leaves", [gp.ProxyLeft(1)])
-    matches("book_list", recorder.trace)
+    matches("snapshot_list", recorder.trace)
 
 
 def test_a_drop_from_the_list_is_ignored_where_it_does_not_bind():
     recorder = BuilderTrace(dropped_counts_as_gone=False)
     recorder.step("two lines", [READY], [LINE_A, LINE_B, gp.BindProxy(1, 1)])
     snapshot = recorder.step("the list drops both", [gp.TaskListReceived("full", ())])
-    assert not snapshot.closed and snapshot.usable_lines(1) == {"a": 1.0, "b": 2.0}
+    assert not snapshot.not_ready_since and snapshot.usable_weights(1) == {"a": 1.0, "b": 2.0}
     snapshot = recorder.step("one drains", [changes(line("a", "draining"))])
-    assert list(snapshot.closed) == ["a"]
+    assert list(snapshot.not_ready_since) == ["a"]
 
 
 def test_unconfirmed_levels_count_as_the_lower_one_without_retries():
@@ -95,10 +95,13 @@
     lost = gp.SetAdmission(1, (1,), 0.4, "on proof")
     builder.update(1, [], [lost])
     levels = builder.update(2, [gp.OrdersLost((lost,), True)], []).tables[1].levels
-    assert [(k, v.part, v.tries) for k, v in levels.items()] == [(0, 0.9, "on proof"), (1, 0.4, "none")]
+    assert [(k, v.admitted, v.retry_mode) for k, v in levels.items()] == [
+        (0, 0.9, "on proof"),
+        (1, 0.4, "none"),
+    ]
     raised = gp.SetAdmission(1, (0,), 1.0, "once")
     builder.update(3, [], [raised])
-    assert builder.update(4, [gp.OrdersLost((raised,), False)], []).tables[1].level(0).part == 0.9
+    assert builder.update(4, [gp.OrdersLost((raised,), False)], []).tables[1].level(0).admitted == 0.9
 
 
 def test_a_snapshot_is_the_same_object_until_something_changes():
@@ -115,8 +118,8 @@
     builder = SnapshotBuilder()
     builder.update(0, [READY], [LINE_A, LINE_B], {"a": ("127.0.0.1", 5)})
     builder.update(1, [changes(line("a", "draining"))], [gp.SetWeight(1, "a", 0.0)])
-    assert "a" in builder.update(CLOSED_TASK_RETENTION, [], []).tasks
-    snapshot = builder.update(CLOSED_TASK_RETENTION + 1, [], [])
+    assert "a" in builder.update(NOT_READY_TASK_RETENTION, [], []).tasks
+    snapshot = builder.update(NOT_READY_TASK_RETENTION + 1, [], [])
     assert (
         "a" not in snapshot.tasks and list(builder.tables[1].lines) == ["b"] and not snapshot.tasks_by_address
     )
@@ -150,7 +153,7 @@
                 for k, recorder in tables.get(number, {}).items()
                 if recorder and k not in withdrawn
             }
-            assert (snapshot.usable_lines(proxy) or {}) == expected
+            assert (snapshot.usable_weights(proxy) or {}) == expected
 
 
 def test_a_large_fleet_in_several_tables():
@@ -158,11 +161,11 @@
     orders = [gp.SetWeight(n, k, 1.0 + n) for n in range(1, 5) for k in tasks]
     orders += [gp.BindProxy(p, 1 + p % 4) for p in range(400)]
     snapshot = builder.update(0, [gp.TaskListReceived("full", tuple(map(line, tasks)))], orders)
-    assert len(snapshot.tables) == 4 and all(len(snapshot.usable_lines(p)) == 120 for p in range(400))
+    assert len(snapshot.tables) == 4 and all(len(snapshot.usable_weights(p)) == 120 for p in range(400))
     # Once all proxies are bound to a new table, the old tables are removed.
     orders = [gp.SetWeight(5, "t0", 1.0)] + [gp.BindProxy(p, 5) for p in range(400)]
     later = builder.update(1, [gp.ChannelStateUnknown()], orders)
-    assert list(later.tables) == [5] and snapshot.usable_lines(399)["t7"] == 5.0
+    assert list(later.tables) == [5] and snapshot.usable_weights(399)["t7"] == 5.0
 
 
 def test_snapshots_match_the_brains_table_after_every_batch():
@@ -187,7 +190,7 @@
     play.run(3)
     play.hear(changes(line("e", started=16.0)), gp.ProxyJoined(7, 5.0, True, "z"))
     play.run(20)
-    assert play.builder.snapshot.usable_lines(7) == play.builder.snapshot.usable_lines(0)
+    assert play.builder.snapshot.usable_weights(7) == play.builder.snapshot.usable_weights(0)
 
 
 def test_one_publication_wakes_all_waiters():
