--- a/garnetpaddle/boot/parsing.py
+++ b/garnetpaddle/boot/parsing.py
@@ -3,7 +3,7 @@
 TENTHS_OF_MS_PER_SECOND = 10_000
 
 
-class UnknownValue(ValueError):
+class UnknownValueError(ValueError):
     """A field has a value that its enumeration does not contain."""
 
     def __init__(self, field, value):
@@ -11,9 +11,9 @@
 
 
 def lookup(table, value, field):
-    """table[value]; raises UnknownValue, which names the field, if there is no such entry."""
+    """table[value]; raises UnknownValueError, which names the field, if there is no such entry."""
     if value not in table:
-        raise UnknownValue(field, value)
+        raise UnknownValueError(field, value)
     return table[value]
 
 
--- a/garnetpaddle/boot/settings.py
+++ b/garnetpaddle/boot/settings.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from garnetpaddle import interface as gp
-from garnetpaddle.boot.parsing import UnknownValue, seconds_to_tenths_of_ms
+from garnetpaddle.boot.parsing import UnknownValueError, seconds_to_tenths_of_ms
 
 
 class Category(msgspec.Struct):
@@ -74,11 +74,11 @@
 
 
 def derive_parameters(settings):
-    """The Brain's parameters (interface.Parameters); raises UnknownValue for an unsupported setting."""
+    """The Brain's parameters (interface.Parameters); raises UnknownValueError for an unsupported setting."""
     channel, contract = settings.specifics, settings.contract
     if channel.ranges:
         # Ranges (slices) are not supported: no deployment has them yet.
-        raise UnknownValue("specifics.ranges", channel.ranges)
+        raise UnknownValueError("specifics.ranges", channel.ranges)
     return gp.Parameters(
         routes=tuple(gp.Route(c.gain, seconds_to_tenths_of_ms(c.promise)) for c in settings.categories),
         list_mode=settings.discovery,
--- a/garnetpaddle/commands/rehearse.py
+++ b/garnetpaddle/commands/rehearse.py
@@ -10,12 +10,12 @@
 
 def read_script(path):
     """Reads a Script; if it is invalid, prints its diagnostics and exits with 2."""
-    from garnetpaddle.operator import InvalidFile
+    from garnetpaddle.operator import InvalidFileError
     from garnetpaddle.rehearsal import read
 
     try:
         return read(path)
-    except InvalidFile as error:
+    except InvalidFileError as error:
         for diagnostic in error.diagnostics:
             click.echo(f"garnetpaddle: {diagnostic}", err=True)
         raise click.exceptions.Exit(2) from None
--- a/garnetpaddle/commands/serve.py
+++ b/garnetpaddle/commands/serve.py
@@ -45,8 +45,8 @@
         operator_configuration = operator.read(operator_path)
         diagnostics = operator.check_against_platform(operator_configuration, platform)
         if diagnostics:
-            raise operator.InvalidFile(diagnostics)
-    except operator.InvalidFile as error:
+            raise operator.InvalidFileError(diagnostics)
+    except operator.InvalidFileError as error:
         for diagnostic in error.diagnostics:
             print_error(diagnostic)
         return INVALID
--- a/garnetpaddle/net/order_codec.py
+++ b/garnetpaddle/net/order_codec.py
@@ -1,9 +1,9 @@
 """Encoding of orders as the relay's form requests, parsing of its XML responses, translation of marks."""
 
-import xml.etree.ElementTree as xml
 from dataclasses import dataclass
 from typing import NamedTuple
 from urllib.parse import quote
+from xml.etree import ElementTree
 
 from garnetpaddle import interface as gp
 
@@ -132,8 +132,8 @@
 
     sent: the number of orders in the request."""
     try:
-        root = xml.fromstring(bytes(body))
-    except (xml.ParseError, ValueError):
+        root = ElementTree.fromstring(bytes(body))
+    except (ElementTree.ParseError, ValueError):
         return None
     counts = [(element.text or "").strip() for element in root.iter("taken")]
     if status == 200 and len(counts) == 1 and counts[0].isascii() and counts[0].isdigit():
--- a/garnetpaddle/net/order_sender.py
+++ b/garnetpaddle/net/order_sender.py
@@ -26,10 +26,8 @@
         self.address, self.routes, self.marks, self.publish = address, routes, marks, publish
         self.queue, self.wake, self.connection = collections.deque(), asyncio.Event(), None
         self.failures, self.logged_state = 0, None
-        self.next_connection, self.move_task = (
-            None,
-            None,
-        )  # the connection to a new address; the task that opens it
+        # next_connection: the connection to a new address; move_task: the task that opens it
+        self.next_connection, self.move_task = None, None
 
     def submit(self, orders):
         """Queues a batch of orders."""
--- a/garnetpaddle/operator/__init__.py
+++ b/garnetpaddle/operator/__init__.py
@@ -1,10 +1,10 @@
 """The operator's own configuration file, in HCL: front ends, groups, followers, limits.
 
 Each diagnostic names file, line, field and what is expected. The package is imported only if a file is given.
-read(path) returns an OperatorConfiguration or raises InvalidFile; check_against_platform(configuration,
+read(path) returns an OperatorConfiguration or raises InvalidFileError; check_against_platform(configuration,
 platform) checks it against the platform's configuration."""
 
-from garnetpaddle.operator.block_decoder import Diagnostic, InvalidFile
+from garnetpaddle.operator.block_decoder import Diagnostic, InvalidFileError
 from garnetpaddle.operator.configuration import (
     Dfp,
     Follower,
@@ -19,7 +19,7 @@
 __all__ = [
     "Dfp",
     "Diagnostic",
-    "InvalidFile",
+    "InvalidFileError",
     "Follower",
     "Group",
     "Limits",
--- a/garnetpaddle/operator/block_decoder.py
+++ b/garnetpaddle/operator/block_decoder.py
@@ -21,7 +21,7 @@
         return f"{self.file}:{self.line}: {self.field}: {self.why}"
 
 
-class InvalidFile(ValueError):
+class InvalidFileError(ValueError):
     """A file has mistakes; carries all of its diagnostics."""
 
     def __init__(self, diagnostics):
--- a/garnetpaddle/operator/configuration.py
+++ b/garnetpaddle/operator/configuration.py
@@ -6,7 +6,7 @@
 import msgspec
 
 from garnetpaddle.operator import hcl
-from garnetpaddle.operator.block_decoder import Diagnostic, InvalidFile, block_title, decode_attributes
+from garnetpaddle.operator.block_decoder import Diagnostic, InvalidFileError, block_title, decode_attributes
 
 Positive = Annotated[float, msgspec.Meta(gt=0, le=1e9)]
 Name = Annotated[str, msgspec.Meta(min_length=1, max_length=255)]
@@ -105,7 +105,7 @@
 
 
 def read(path):
-    """Reads and validates a file; raises InvalidFile."""
+    """Reads and validates a file; raises InvalidFileError."""
     blocks = read_blocks(path)
     diagnostics, decoded, lines = [], {kind: [] for kind in KINDS}, {}
     for block in blocks:
@@ -139,25 +139,25 @@
     )
     diagnostics += check_references(configuration)
     if diagnostics:
-        raise InvalidFile(sorted(diagnostics, key=lambda d: d.line))
+        raise InvalidFileError(sorted(diagnostics, key=lambda d: d.line))
     return configuration
 
 
 def read_blocks(path):
-    """The file's HCL blocks; raises InvalidFile."""
+    """The file's HCL blocks; raises InvalidFileError."""
     try:
         with open(path, "rb") as file:
             text = file.read(MAX_FILE_BYTES + 1).decode()
     except OSError as error:
-        raise InvalidFile([Diagnostic(path, 1, "file", error.strerror or str(error))]) from None
+        raise InvalidFileError([Diagnostic(path, 1, "file", error.strerror or str(error))]) from None
     except UnicodeDecodeError:
-        raise InvalidFile([Diagnostic(path, 1, "file", "not UTF-8 text")]) from None
+        raise InvalidFileError([Diagnostic(path, 1, "file", "not UTF-8 text")]) from None
     if len(text) > MAX_FILE_BYTES:
-        raise InvalidFile([Diagnostic(path, 1, "file", "over 1 MiB")])
+        raise InvalidFileError([Diagnostic(path, 1, "file", "over 1 MiB")])
     try:
         return hcl.blocks(text)
-    except hcl.InvalidHcl as error:
-        raise InvalidFile([Diagnostic(path, error.line, error.field, error.why)]) from None
+    except hcl.InvalidHclError as error:
+        raise InvalidFileError([Diagnostic(path, error.line, error.field, error.why)]) from None
 
 
 def decode_block(path, block, diagnostics):
--- a/garnetpaddle/operator/hcl.py
+++ b/garnetpaddle/operator/hcl.py
@@ -9,7 +9,7 @@
 ESCAPES = {"n": "\n", "r": "\r", "t": "\t", '"': '"', "\\": "\\"}
 
 
-class InvalidHcl(ValueError):
+class InvalidHclError(ValueError):
     """The text is not HCL or uses unsupported parts of it. line: from 1; field: "file" if none is known."""
 
     def __init__(self, line, why, field="file"):
@@ -28,18 +28,18 @@
 
 
 def blocks(text):
-    """The blocks of a file, in order; raises InvalidHcl."""
+    """The blocks of a file, in order; raises InvalidHclError."""
     try:
         tree = hcl2.parses_to_tree(text if text.endswith("\n") else text + "\n")
     except UnexpectedInput as error:
         line = error.line if isinstance(getattr(error, "line", None), int) and error.line > 0 else 1
-        raise InvalidHcl(
+        raise InvalidHclError(
             min(line, text.count("\n") + 1), "invalid HCL: " + describe_unexpected(error)
         ) from None
     found = []
     for node in child_trees(tree, "body", "block", "attribute"):
         if node.data == "attribute":
-            raise InvalidHcl(node.meta.line, f"{identifier(node)!r} must be inside a block")
+            raise InvalidHclError(node.meta.line, f"{identifier(node)!r} must be inside a block")
         found.append(decode_block(node))
     return found
 
@@ -72,29 +72,31 @@
 
 
 def decode_block(node):
-    """Decodes a block node to a Block; raises InvalidHcl."""
+    """Decodes a block node to a Block; raises InvalidHclError."""
     head_nodes = [c for c in node.children if isinstance(c, Tree) and c.data in ("identifier", "string")]
     labels = tuple(decode_value(c) if c.data == "string" else str(c.children[0]) for c in head_nodes[1:])
     decoded = Block(identifier(node), labels, node.meta.line)
     for inner in child_trees(node, "block", "attribute"):
         if inner.data == "block":
-            raise InvalidHcl(inner.meta.line, f"unknown block {identifier(inner)!r} inside {decoded.kind!r}")
+            raise InvalidHclError(
+                inner.meta.line, f"unknown block {identifier(inner)!r} inside {decoded.kind!r}"
+            )
         key = identifier(inner)
         if key in decoded.attributes:
-            raise InvalidHcl(
+            raise InvalidHclError(
                 inner.meta.line, f"{key!r} is set twice; first at line {decoded.attributes[key][1]}"
             )
         try:
             decoded.attributes[key] = decode_value(inner.children[-1]), inner.meta.line
-        except InvalidHcl as error:
-            raise InvalidHcl(error.line, error.why, ".".join((decoded.kind, *labels, key))) from None
+        except InvalidHclError as error:
+            raise InvalidHclError(error.line, error.why, ".".join((decoded.kind, *labels, key))) from None
     return decoded
 
 
 def decode_value(node):
-    """Decodes a string, number, boolean or list; raises InvalidHcl for expressions that need evaluation."""
+    """Decodes a string, number, boolean or list; raises InvalidHclError if evaluation is needed."""
     if isinstance(node, Token):
-        raise InvalidHcl(node.line, f"{str(node)!r:.40} is not a literal value")
+        raise InvalidHclError(node.line, f"{str(node)!r:.40} is not a literal value")
     inner = [c for c in node.children if isinstance(c, Tree)]
     match node.data:
         case "expr_term" if len(inner) == 1 and len(node.children) == 1:
@@ -112,14 +114,14 @@
             return literal == "true"
         case "tuple":
             return [decode_value(c) for c in inner if c.data != "new_line_or_comment"]
-    raise InvalidHcl(node.meta.line, "only strings, numbers, true, false and lists of these are allowed")
+    raise InvalidHclError(node.meta.line, "only strings, numbers, true, false and lists of these are allowed")
 
 
 def decode_string_part(part):
     """Decodes a part of a string, with its escape sequences."""
     text = "".join(str(t) for t in part.children if isinstance(t, Token))
     if any(isinstance(t, Tree) for t in part.children):
-        raise InvalidHcl(part.meta.line, "only literal strings are allowed, without ${...}")
+        raise InvalidHclError(part.meta.line, "only literal strings are allowed, without ${...}")
     decoded_characters, characters = [], iter(text)
     for character in characters:
         decoded_characters.append(ESCAPES.get(next(characters, ""), "?") if character == "\\" else character)
--- a/garnetpaddle/rehearsal/script.py
+++ b/garnetpaddle/rehearsal/script.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from garnetpaddle.operator import hcl
-from garnetpaddle.operator.block_decoder import Diagnostic, InvalidFile, block_title, decode_attributes
+from garnetpaddle.operator.block_decoder import Diagnostic, InvalidFileError, block_title, decode_attributes
 
 Positive = Annotated[float, msgspec.Meta(gt=0, le=1e6)]
 NonNegative = Annotated[float, msgspec.Meta(ge=0, le=1e6)]
@@ -194,11 +194,11 @@
 
 
 def read(path):
-    """Reads the Script of a file and its includes; raises InvalidFile."""
+    """Reads the Script of a file and its includes; raises InvalidFileError."""
     diagnostics, blocks_by_kind, chain = [], {kind: {} for kind in BLOCKS}, []
     read_blocks(path, blocks_by_kind, diagnostics, chain)
     if diagnostics:
-        raise InvalidFile(diagnostics)
+        raise InvalidFileError(diagnostics)
 
     def singleton(kind):
         return blocks_by_kind[kind][""][0] if blocks_by_kind[kind] else BLOCKS[kind]()
@@ -219,7 +219,7 @@
     )
     diagnostics = list(check(script, blocks_by_kind))
     if diagnostics:
-        raise InvalidFile(sorted(diagnostics, key=lambda d: (d.file, d.line)))
+        raise InvalidFileError(sorted(diagnostics, key=lambda d: (d.file, d.line)))
     return script
 
 
@@ -231,7 +231,7 @@
     except (OSError, UnicodeDecodeError) as error:
         diagnostics.append(Diagnostic(path, 1, "file", getattr(error, "strerror", None) or "not UTF-8 text"))
         return
-    except hcl.InvalidHcl as error:
+    except hcl.InvalidHclError as error:
         diagnostics.append(Diagnostic(path, error.line, error.field, error.why))
         return
     include, own_blocks = "", {}
--- a/garnetpaddle/sasp/session.py
+++ b/garnetpaddle/sasp/session.py
@@ -53,7 +53,7 @@
     held_references: tuple
 
 
-class RequestRefused(Exception):
+class RequestRefusedError(Exception):
     """A request is refused. code: for the reply; why: the reason for the log."""
 
     def __init__(self, code, why):
@@ -88,7 +88,7 @@
         self.inclusive_lengths = self.inclusive_lengths or message.inclusive_lengths
         try:
             reply = self.handle_request(now, message, actions)
-        except RequestRefused as refusal:
+        except RequestRefusedError as refusal:
             actions.append(
                 log_line(
                     "follower_refused",
@@ -127,7 +127,7 @@
         }[type(message)]
 
     def handle_request(self, now, message, actions):
-        """Executes a request; returns the reply as bytes, or raises RequestRefused."""
+        """Executes a request; returns the reply as bytes, or raises RequestRefusedError."""
         match message:
             case m.Register(lb=True):
                 self.register(now, message, actions)
@@ -144,7 +144,7 @@
             case m.SetMemberState():
                 self.set_member_states(message, actions)
             case _:
-                raise RequestRefused(ResponseCode.NOT_UNDERSTOOD, "a message that only a manager sends")
+                raise RequestRefusedError(ResponseCode.NOT_UNDERSTOOD, "a message that only a manager sends")
         return codec.encode(
             m.Reply(
                 message.id,
@@ -159,28 +159,28 @@
     def register(self, now, message, actions):
         """Registers members for a balancer: all of them or none."""
         if not message.groups:
-            raise RequestRefused(ResponseCode.INVALID_GROUP, "no group")
+            raise RequestRefusedError(ResponseCode.INVALID_GROUP, "no group")
         follower, added = None, {}
         for name, members in message.groups:
             follower = self.follower_of(name)
             if self.follower and follower is not self.follower:
-                raise RequestRefused(ResponseCode.NOT_ACCEPTED, "a group of another balancer")
+                raise RequestRefusedError(ResponseCode.NOT_ACCEPTED, "a group of another balancer")
             group = added.get(name.name) or self.granted_group(follower, name)
             added[name.name] = group = replace(
                 group, members=dict(group.members), drained=dict(group.drained)
             )
             self.add_members(group, members)
         if len({name.uid for name, _ in message.groups}) > 1:
-            raise RequestRefused(ResponseCode.NOT_ACCEPTED, "groups of two balancers")
+            raise RequestRefusedError(ResponseCode.NOT_ACCEPTED, "groups of two balancers")
         unchanged_groups = [group for key, group in self.groups.items() if key not in added]
         count = sum(len(group.members) for group in (*added.values(), *unchanged_groups))
         if count > self.max_members:
-            raise RequestRefused(
+            raise RequestRefusedError(
                 ResponseCode.NOT_ACCEPTED, f"{count} members, {self.max_members} are the most"
             )
         why = self.registry.leases.refusal_reason(now, follower.name, self.connection, self.has_read_reply)
         if why:
-            raise RequestRefused(ResponseCode.NOT_ACCEPTED, why)
+            raise RequestRefusedError(ResponseCode.NOT_ACCEPTED, why)
         previous = self.acquire_lease(now, follower, actions)
         if previous is not None:
             actions.append(NotifySession(previous))
@@ -189,31 +189,35 @@
         self.groups |= added
 
     def follower_of(self, name):
-        """Returns the follower that owns a group name; raises RequestRefused."""
+        """Returns the follower that owns a group name; raises RequestRefusedError."""
         if not name.uid:
-            raise RequestRefused(ResponseCode.INVALID_LB_UID_SIZE, "no LB UID")
+            raise RequestRefusedError(ResponseCode.INVALID_LB_UID_SIZE, "no LB UID")
         if not name.name:
-            raise RequestRefused(ResponseCode.INVALID_GROUP_NAME_SIZE, "no group name")
+            raise RequestRefusedError(ResponseCode.INVALID_GROUP_NAME_SIZE, "no group name")
         follower = self.registry.followers.get(name.uid)
         if follower is None:
-            raise RequestRefused(ResponseCode.NOT_ACCEPTED, f"no follower has the LB UID {name.uid[:40]!r}")
+            raise RequestRefusedError(
+                ResponseCode.NOT_ACCEPTED, f"no follower has the LB UID {name.uid[:40]!r}"
+            )
         return follower
 
     def granted_group(self, follower, name):
-        """Returns this balancer's group of that name, or a new one; raises RequestRefused if unauthorized."""
+        """This balancer's group of that name, or a new one; raises RequestRefusedError if unauthorized."""
         group = self.groups.get(name.name)
         text = name.name.decode("utf-8", "replace")
         route = self.registry.groups.get(text)
         if route is None or text not in follower.groups:
-            raise RequestRefused(ResponseCode.INVALID_GROUP, f"no group {text[:40]!r} of {follower.name}")
+            raise RequestRefusedError(
+                ResponseCode.INVALID_GROUP, f"no group {text[:40]!r} of {follower.name}"
+            )
         level = self.registry.level(follower.name, route)
         why = refusal_reason(route.effect, follower.retries, level, already_granted=group is not None)
         if why:
-            raise RequestRefused(ResponseCode.NOT_ACCEPTED, f"{text[:40]}: {why}")
+            raise RequestRefusedError(ResponseCode.NOT_ACCEPTED, f"{text[:40]}: {why}")
         return group or BalancerGroup(route, name=name)
 
     def add_members(self, group, members):
-        """Adds members to a group; raises RequestRefused."""
+        """Adds members to a group; raises RequestRefusedError."""
         for data in members:
             key = codec.encode_member(data)
             if key in group.members:
@@ -221,18 +225,20 @@
                     key in self.groups.get(group.name.name, group).members and group.name.name in self.groups
                 )
                 code = ResponseCode.MEMBER_REGISTERED if known else ResponseCode.DUPLICATE_MEMBER
-                raise RequestRefused(code, f"member {data.endpoint} twice")
+                raise RequestRefusedError(code, f"member {data.endpoint} twice")
             group.members[key] = Member(key, data.endpoint, self.task_at(data))
 
     def task_at(self, data):
-        """Returns the task at a member's address; raises RequestRefused."""
+        """Returns the task at a member's address; raises RequestRefusedError."""
         snapshot = self.registry.snapshot
         task = snapshot.tasks_by_address.get(data.endpoint)
         if data.protocol not in (TCP, ANY_PROTOCOL) or task is None:
-            raise RequestRefused(ResponseCode.NOT_ACCEPTED, f"member {data.endpoint} is no task of the list")
+            raise RequestRefusedError(
+                ResponseCode.NOT_ACCEPTED, f"member {data.endpoint} is no task of the list"
+            )
         label = data.label.decode("utf-8", "replace")
         if label != task and label in snapshot.tasks:
-            raise RequestRefused(
+            raise RequestRefusedError(
                 ResponseCode.NOT_ACCEPTED, f"member {data.endpoint} is {task}, its label names {label}"
             )
         return task
@@ -242,21 +248,21 @@
     def trusting_session(self, name, code):
         """Returns the session of the balancer that owns a group, if that trusts its members.
 
-        Raises RequestRefused, with this code if the balancer has no session."""
+        Raises RequestRefusedError, with this code if the balancer has no session."""
         self.follower_of(name)
         session = self.registry.session_of(name.uid)
         if not isinstance(session, Session):
-            raise RequestRefused(code, "its balancer has not contacted this manager")
+            raise RequestRefusedError(code, "its balancer has not contacted this manager")
         if not session.trust:
-            raise RequestRefused(ResponseCode.NOT_TRUSTED, "its balancer does not trust members")
+            raise RequestRefusedError(ResponseCode.NOT_TRUSTED, "its balancer does not trust members")
         if name.name not in session.groups:
-            raise RequestRefused(ResponseCode.UNKNOWN_GROUP, f"no group {name.name[:40]!r}")
+            raise RequestRefusedError(ResponseCode.UNKNOWN_GROUP, f"no group {name.name[:40]!r}")
         return session
 
     def check_address(self, data):
-        """Raises RequestRefused if a member sends a request for another address."""
+        """Raises RequestRefusedError if a member sends a request for another address."""
         if data.endpoint[0] != self.peer_host:
-            raise RequestRefused(
+            raise RequestRefusedError(
                 ResponseCode.NOT_ACCEPTED, f"member {data.endpoint} is not at the sender's address"
             )
 
@@ -277,7 +283,7 @@
                 len(copy.members) - len(group.members) + sum(len(h.members) for h in session.groups.values())
                 > session.max_members
             ):
-                raise RequestRefused(ResponseCode.NOT_ACCEPTED, "too many members")
+                raise RequestRefusedError(ResponseCode.NOT_ACCEPTED, "too many members")
             added.append((session, copy))
         for session, copy in added:
             copy.version = self.registry.next_version()
@@ -305,10 +311,10 @@
     def deregister(self, now, message, actions):
         """Removes members, groups or everything for a balancer."""
         if self.follower is None:
-            raise RequestRefused(ResponseCode.UNKNOWN_LB_UID, "nothing is registered on this connection")
+            raise RequestRefusedError(ResponseCode.UNKNOWN_LB_UID, "nothing is registered on this connection")
         names = [name.name for name, _ in message.groups]
         if len(names) != len(dict.fromkeys(names)):
-            raise RequestRefused(ResponseCode.DUPLICATE_IN_REQUEST, "a group twice")
+            raise RequestRefusedError(ResponseCode.DUPLICATE_IN_REQUEST, "a group twice")
         removals = (
             [(group, list(group.members)) for group in self.groups.values()]
             if not names
@@ -331,23 +337,23 @@
             self.release_lease(now, "deregistered", False, actions)
 
     def own_group(self, name):
-        """Returns this balancer's group of that name; raises RequestRefused."""
+        """Returns this balancer's group of that name; raises RequestRefusedError."""
         if name.uid not in (group.name.uid for group in self.groups.values()):
-            raise RequestRefused(
+            raise RequestRefusedError(
                 ResponseCode.UNKNOWN_LB_UID, f"no group of {name.uid[:40]!r} on this connection"
             )
         if name.name not in self.groups:
-            raise RequestRefused(ResponseCode.UNKNOWN_GROUP, f"no group {name.name[:40]!r}")
+            raise RequestRefusedError(ResponseCode.UNKNOWN_GROUP, f"no group {name.name[:40]!r}")
         return self.groups[name.name]
 
     def member_keys(self, group, members):
-        """Returns the keys of a group's members; raises RequestRefused for duplicates and unknown members."""
+        """The keys of a group's members; raises RequestRefusedError for duplicates and unknown members."""
         keys = [codec.encode_member(data) for data in members]
         if len(keys) != len(dict.fromkeys(keys)):
-            raise RequestRefused(ResponseCode.DUPLICATE_IN_REQUEST, "a member twice")
+            raise RequestRefusedError(ResponseCode.DUPLICATE_IN_REQUEST, "a member twice")
         for key, data in zip(keys, members, strict=True):
             if key not in group.members:
-                raise RequestRefused(ResponseCode.MEMBER_NOT_REGISTERED, f"no member {data.endpoint}")
+                raise RequestRefusedError(ResponseCode.MEMBER_NOT_REGISTERED, f"no member {data.endpoint}")
         return keys
 
     # States, sections 6.5 and 6.6
@@ -356,9 +362,9 @@
         """Sets how the balancer wants to be served."""
         follower = self.registry.followers.get(message.uid)
         if not message.uid:
-            raise RequestRefused(ResponseCode.INVALID_LB_UID_SIZE, "no LB UID")
+            raise RequestRefusedError(ResponseCode.INVALID_LB_UID_SIZE, "no LB UID")
         if follower is None or self.follower and follower is not self.follower:
-            raise RequestRefused(
+            raise RequestRefusedError(
                 ResponseCode.NOT_ACCEPTED, f"no follower has the LB UID {message.uid[:40]!r}"
             )
         if (self.push_enabled, self.trust, self.no_change) != (
@@ -403,7 +409,7 @@
     def reply_to_poll(self, now, message):
         """Returns the reply to a request for weights; equal polls of one state share its encoded groups."""
         if self.follower is None:
-            raise RequestRefused(ResponseCode.UNKNOWN_LB_UID, "nothing is registered on this connection")
+            raise RequestRefusedError(ResponseCode.UNKNOWN_LB_UID, "nothing is registered on this connection")
         names = tuple(name.name for name in message.groups)
         for name in message.groups:
             self.own_group(name)
--- a/garnetpaddle/wirehost/translate.py
+++ b/garnetpaddle/wirehost/translate.py
@@ -1,7 +1,13 @@
 """Conversion of the simulator's messages to the interface's events, and of orders to messages."""
 
 from garnetpaddle import interface as gp
-from garnetpaddle.boot import UnknownValue, lookup, make_task_line, normalize_load, seconds_to_tenths_of_ms
+from garnetpaddle.boot import (
+    UnknownValueError,
+    lookup,
+    make_task_line,
+    normalize_load,
+    seconds_to_tenths_of_ms,
+)
 from garnetpaddle.wirehost import wire
 
 STATES = {"on": "ready", "fading": "draining", "off": "gone"}
@@ -40,7 +46,7 @@
         case wire.Endpoints():
             update_type = lookup(UPDATE_TYPES, message.form, "form")
             if update_type != "lost" and message.bank not in task_lists:
-                raise UnknownValue("bank", message.bank)
+                raise UnknownValueError("bank", message.bank)
             return gp.TaskListReceived(update_type, () if update_type == "lost" else task_lists[message.bank])
         case wire.DeadlineHit():
             return gp.TimerExpired(message.key_back)
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -511,7 +511,7 @@
 import sys
 from garnetpaddle.net import configuration, serve
 class Brain:
-    def __init__(self, terms, seed): pass
+    def __init__(self, parameters, seed): pass
     def handle(self, now, events): raise KeyError("brain failure")
 serve.Brain = Brain
 sys.exit(serve.main(configuration.read(sys.argv[1], {}), sys.argv[1]))
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -61,7 +61,7 @@
     path.write_text(text)
     try:
         found = op.check_against_platform(op.read(str(path)), PLATFORM)
-    except op.InvalidFile as error:
+    except op.InvalidFileError as error:
         found = error.diagnostics
     return [str(diagnostic).removeprefix(str(path.parent) + "/") for diagnostic in found]
 
@@ -86,7 +86,7 @@
 def test_files_that_are_not_text_too_long_or_missing_are_refused(content, why, tmp_path):
     path = tmp_path / "operator.hcl"
     path.write_bytes(content)
-    with pytest.raises(op.InvalidFile, match=why):
+    with pytest.raises(op.InvalidFileError, match=why):
         op.read(str(path))
-    with pytest.raises(op.InvalidFile, match="No such file"):
+    with pytest.raises(op.InvalidFileError, match="No such file"):
         op.read(str(tmp_path / "none"))
--- a/tests/test_rehearsal.py
+++ b/tests/test_rehearsal.py
@@ -10,7 +10,7 @@
 from helper import matches
 
 from garnetpaddle import interface as gp
-from garnetpaddle.operator import InvalidFile
+from garnetpaddle.operator import InvalidFileError
 from garnetpaddle.rehearsal import Simulation, events, read
 from garnetpaddle.rehearsal.compare import differences, first_divergence
 from garnetpaddle.rehearsal.model import Call, Node, Proxy, Scheduler
@@ -470,7 +470,7 @@
     for name, text in INVALID_SCRIPTS.items():
         path = tmp_path / f"{name}.hcl"
         path.write_text(text)
-        with pytest.raises(InvalidFile) as caught:
+        with pytest.raises(InvalidFileError) as caught:
             read(str(path))
         trace += [f"{name}:", *(str(f).replace(f"{tmp_path}{os.sep}", "") for f in caught.value.diagnostics)]
     matches("rehearsal_diagnostics", trace)
