--- a/garnetpaddle/net/order_codec.py
+++ b/garnetpaddle/net/order_codec.py
@@ -8,7 +8,7 @@
 from garnetpaddle import interface as gp
 
 RETRY_MODES = {"none": 0, "on proof": 1, "once": 2}
-MAX_CALL_BYTES = 60_000  # encoded orders in one request
+MAX_REQUEST_BYTES = 60_000  # encoded orders in one request
 MARK_COUNT = 65_536  # wire marks are integers below this
 MAX_REMEMBERED_MARKS = 4_096  # latest marks sent, which an OrdersApplied event may still refer to
 ERRORS_BEFORE_EXECUTION = frozenset({"limit", "malformed"})  # error codes of a request that was not executed
@@ -80,7 +80,7 @@
     raise TypeError(f"order has no encoding for the relay: {order!r}")
 
 
-def split_into_requests(orders, routes, marks, limit=MAX_CALL_BYTES):
+def split_into_requests(orders, routes, marks, limit=MAX_REQUEST_BYTES):
     """Encodes a batch of orders as requests, lists of EncodedOrder: several only above the byte limit.
 
     A fence goes first: it covers its whole request, and nothing after an order that is not accepted is
@@ -88,47 +88,51 @@
     reach only the proxies that its own request reaches."""
     fence_first = sorted(orders, key=lambda order: not isinstance(order, gp.RequestAcknowledgement))
     encoded = [EncodedOrder(order, encode_order(order, routes, marks)) for order in fence_first]
-    calls = list(split_by_size(encoded, limit))
-    if len(calls) > 1 and isinstance(fence_first[0], gp.RequestAcknowledgement):
+    requests = list(split_by_size(encoded, limit))
+    if len(requests) > 1 and isinstance(fence_first[0], gp.RequestAcknowledgement):
         fence = encoded[0]
-        calls = list(split_by_size([*encoded[1:], EncodedOrder(fence.order, fence.text[:-1] + "1")], limit))
-    return calls
+        requests = list(
+            split_by_size([*encoded[1:], EncodedOrder(fence.order, fence.text[:-1] + "1")], limit)
+        )
+    return requests
 
 
 def split_by_size(encoded, limit):
     """Splits encoded orders into lists of at most `limit` bytes, each with at least one order."""
-    call, size = [], 0
+    request, size = [], 0
     for encoded_order in encoded:
         order_bytes = len(quote(encoded_order.text, safe="")) + SEPARATOR_BYTES
-        if call and size + order_bytes > limit:
-            yield call
-            call, size = [], 0
-        call.append(encoded_order)
+        if request and size + order_bytes > limit:
+            yield request
+            request, size = [], 0
+        request.append(encoded_order)
         size += order_bytes
-    if call:
-        yield call
+    if request:
+        yield request
 
 
-def remaining_orders(call, accepted):
+def remaining_orders(request, accepted):
     """The orders of a request that are still to be sent after one that was not accepted.
 
     The fence is repeated, since a fence reaches only the proxies that its own request reaches, but not to
     all proxies: that would cost every proxy a message."""
-    fences = [encoded for encoded in call[:accepted] if isinstance(encoded.order, gp.RequestAcknowledgement)]
-    remaining = call[accepted + 1 :]
+    fences = [
+        encoded for encoded in request[:accepted] if isinstance(encoded.order, gp.RequestAcknowledgement)
+    ]
+    remaining = request[accepted + 1 :]
     if not remaining:
         return []
     return [EncodedOrder(fence.order, fence.text[:-1] + "0") for fence in fences] + remaining
 
 
-def request_body(call):
+def request_body(request):
     """The form body of a request."""
-    changes = ";".join(encoded.text for encoded in call)
+    changes = ";".join(encoded.text for encoded in request)
     return b"Action=ApplyOrders&changes=" + quote(changes, safe="").encode()
 
 
 def parse_response(status, body, sent):
-    """Accepted or Rejected; None for a malformed or contradictory response, which leaves the call in doubt.
+    """Accepted or Rejected; None for a malformed or contradictory response: the request is in doubt.
 
     sent: the number of orders in the request."""
     try:
--- a/garnetpaddle/net/order_sender.py
+++ b/garnetpaddle/net/order_sender.py
@@ -45,36 +45,36 @@
     async def send_batch(self, orders):
         """Sends one batch; after an unexpected error it is reported as in doubt."""
         try:
-            await self.send_calls(order_codec.split_into_requests(orders, self.routes, self.marks))
+            await self.send_requests(order_codec.split_into_requests(orders, self.routes, self.marks))
         except Exception:
             log.exception("call_failed")
             self.publish(gp.OrdersLost(tuple(orders), True))
 
-    async def send_calls(self, calls):
+    async def send_requests(self, requests):
         """Sends the requests of one batch. After a failure neither the rest of the batch nor any queued batch
         is sent; all of them are reported as lost."""
         partly_sent = False
-        while calls:
-            call = calls.pop(0)
-            result = await self.send_request(call)
+        while requests:
+            request = requests.pop(0)
+            result = await self.send_request(request)
             if not isinstance(result, order_codec.Accepted):
-                await self.handle_failure(result, call, calls, partly_sent)
+                await self.handle_failure(result, request, requests, partly_sent)
                 return
             partly_sent, self.failures = True, 0
             self.log_state(None)
-            if result.count < len(call):
-                log.warning("order_not_taken", order=call[result.count].text)
-                remaining = order_codec.remaining_orders(call, result.count)
-                calls = [remaining, *calls] if remaining else calls
+            if result.count < len(request):
+                log.warning("order_not_taken", order=request[result.count].text)
+                remaining = order_codec.remaining_orders(request, result.count)
+                requests = [remaining, *requests] if remaining else requests
 
-    async def handle_failure(self, result, call, later_calls, partly_sent):
+    async def handle_failure(self, result, request, later_requests, partly_sent):
         """Reports a failed request and everything queued behind it as lost, after a backoff."""
         in_doubt = isinstance(result, http.Unconfirmed) or partly_sent
         self.log_state(result)
         await asyncio.sleep(BACKOFF[min(self.failures, len(BACKOFF) - 1)])
         self.failures += 1
-        self.report_lost(call, in_doubt)
-        self.report_lost(list(itertools.chain.from_iterable(later_calls)), in_doubt)
+        self.report_lost(request, in_doubt)
+        self.report_lost(list(itertools.chain.from_iterable(later_requests)), in_doubt)
         while self.queue:
             self.publish(gp.OrdersLost(tuple(self.queue.popleft()), False))
 
@@ -128,9 +128,9 @@
             case _:
                 log.warning("orders_lost", why=failure.why, perhaps=isinstance(failure, http.Unconfirmed))
 
-    async def send_request(self, call):
+    async def send_request(self, request):
         """Sends one request; returns Accepted, Rejected, NotSent or Unconfirmed."""
-        body = order_codec.request_body(call)
+        body = order_codec.request_body(request)
         for _ in range(ATTEMPTS):
             self.switch_connection()
             if self.connection and (
@@ -149,6 +149,6 @@
             if not isinstance(result, http.NotSent):
                 break
         if isinstance(result, http.Response):
-            parsed = order_codec.parse_response(result.status, result.body, len(call))
+            parsed = order_codec.parse_response(result.status, result.body, len(request))
             return parsed or http.Unconfirmed(http.MALFORMED)
         return result
--- a/tests/test_fault_scenarios.py
+++ b/tests/test_fault_scenarios.py
@@ -515,16 +515,20 @@
     return sum(map(len, parts))
 
 
-@pytest.mark.parametrize("fresh", [True, False])
-def test_proxies_that_all_leave_and_rejoin_are_bound_again_with_bounded_state(fresh):
+@pytest.mark.parametrize("has_only_default_table", [True, False])
+def test_proxies_that_all_leave_and_rejoin_are_bound_again_with_bounded_state(has_only_default_table):
     """Proxies without a table are bound in the same turn; others keep theirs up to 6 s, as after a start."""
-    assigner, sizes, seconds = Play("abcd", 3), [], 0.0 if fresh else INHERITED_TABLES_TENTHS_MS / 10_000
+    assigner, sizes, seconds = (
+        Play("abcd", 3),
+        [],
+        0.0 if has_only_default_table else INHERITED_TABLES_TENTHS_MS / 10_000,
+    )
     for _ in range(100):
         assigner.run(0.5)
         assigner.hear(*(gp.ProxyLeft(proxy) for proxy in range(3)))
         assigner.run(0.5)
         count = len(assigner.trace)
-        assigner.hear(*(gp.ProxyJoined(proxy, 20.0, fresh, "z") for proxy in range(3)))
+        assigner.hear(*(gp.ProxyJoined(proxy, 20.0, has_only_default_table, "z") for proxy in range(3)))
         assigner.run(seconds)
         assert [line[7:] for line in assigner.trace[count:]] == ["bind 0, bind 1, bind 2"]
         sizes.append(state_size(assigner.brain))
