--- a/garnetpaddle/interface/parameters.py
+++ b/garnetpaddle/interface/parameters.py
@@ -50,8 +50,8 @@
         "strikes",
     )
     routes: tuple[Route, ...]
-    list_mode: str  # "push", or "ask" where a lost subscription to the task list must be ordered again
-    resubscribe_deadline: int  # after the loss of the subscription, in list mode "ask"
+    list_mode: str  # "push", or "ask": the list comes only after SubscribeTaskList, until it is lost
+    resubscribe_deadline: int  # after the task list was lost
     probes_allowed: bool
     warm_after: int  # time from a task's start until it has its full capacity
     start_share: float  # of the full capacity: what a task has at its start
@@ -63,7 +63,7 @@
     message_overhead_lines: float  # cost of a message on top of its own lines
     message_cap: int  # messages to one proxy in message_cap_period; 0: no cap
     message_cap_period: int
-    level_kind: str  # "fraction", "per_second" or "none"
+    level_kind: str  # of SetAdmission.level: "fraction", "per_second" or "none"
     proxies: int = 1  # of all assigners
     assigners: int = 1
     rank: int = 0  # of this assigner among them, from 0
