--- a/benchmarks/advice.py
+++ b/benchmarks/advice.py
@@ -3,11 +3,11 @@
     python -m benchmarks.advice                       # 1, 10, 100, 1000 clients x 30, 120, 1000 members
     python -m benchmarks.advice --clients 100 --members 120 --json result.json
 
-The fronts run in their own process on one core, with snapshots and sessions as in production; readers in
+The front ends run in their own process on one core, with snapshots and sessions as in production; readers in
 other processes parse only what they need. As the baseline ("bare"), a plain asyncio server in the same run
 writes the same bytes to as many connections and answers the same polls; figures are given as ratios to it.
 `step` is the time of the Brain's step with as many followers as clients, relative to none; `lag` is the delay
-of the fronts' event loop.
+of the front ends' event loop.
 
     python -m benchmarks.advice --flood               # 1,000 noise connections, room for 64
 
@@ -31,12 +31,12 @@
 from ddsketch import DDSketch
 
 from garnetpaddle import interface as gp
-from garnetpaddle.advice.leases import FIRST_FOLLOWER_NUMBER
+from garnetpaddle.advice.leases import FIRST_FOLLOWER_PROXY_NUMBER
 from garnetpaddle.advice.session_registry import Follower, GroupRoute, SessionRegistry
-from garnetpaddle.book import SnapshotBuilder, SnapshotPublisher
 from garnetpaddle.brain import Brain
 from garnetpaddle.sasp import GetWeights, GroupName, MemberData, MessageDecoder, Register, SetLbState, codec
 from garnetpaddle.sasp.session import Session
+from garnetpaddle.snapshots import SnapshotBuilder, SnapshotPublisher
 
 ORDER_COUNT, READER_PROCESSES = 12, 4
 HEADER = struct.Struct("!HHBII")
@@ -56,8 +56,8 @@
 def weight_orders(members, order_number):
     """Orders that change every weight; the weight of the first task encodes the order number."""
     tasks = list(member_addresses(members))
-    return [gp.SetLine(1, tasks[0], (100 + order_number) / 1_000)] + [
-        gp.SetLine(1, task, 0.8 + (k * 7 + order_number * 3) % 40 / 100) for k, task in enumerate(tasks[1:])
+    return [gp.SetWeight(1, tasks[0], (100 + order_number) / 1_000)] + [
+        gp.SetWeight(1, task, 0.8 + (k * 7 + order_number * 3) % 40 / 100) for k, task in enumerate(tasks[1:])
     ]
 
 
@@ -82,9 +82,9 @@
 async def run_fronts(pipe, clients, members):
     """Runs the server: sends its port, then executes the commands of the parent process."""
     from garnetpaddle.advice import session
-    from garnetpaddle.fronts import ConnectionManager
+    from garnetpaddle.front_ends import ConnectionManager
 
-    session.MAX_MESSAGES = 10**9  # the message limit is not part of the measurement
+    session.MAX_MESSAGES_PER_PERIOD = 10**9  # the message limit is not part of the measurement
     uids = [f"lb{k:04}" for k in range(clients)]
     registry = SessionRegistry(
         {"status": GroupRoute(0, "repeatable")},
@@ -99,7 +99,7 @@
     task_lines = tuple(gp.TaskLine(task, "z", 0, "ready", 1.0, 0) for task in member_addresses(members))
     publisher.publish(
         snapshot_builder.update(
-            now_ticks(), [gp.ListHeard("full", task_lines)], [], member_addresses(members)
+            now_ticks(), [gp.TaskListReceived("full", task_lines)], [], member_addresses(members)
         )
     )
     address = await manager.open(
@@ -117,7 +117,7 @@
             pipe.send(sum(isinstance(event, gp.ProxyJoined) for event in manager_events))
         elif command == "bind":
             events, manager_events[:] = list(manager_events), []
-            binds = [gp.Bind(FIRST_FOLLOWER_NUMBER + k, 1) for k in range(clients)]
+            binds = [gp.BindProxy(FIRST_FOLLOWER_PROXY_NUMBER + k, 1) for k in range(clients)]
             publisher.publish(
                 snapshot_builder.update(now_ticks(), events, [*weight_orders(members, 0), *binds])
             )
@@ -225,7 +225,11 @@
 
 async def run_reader(pipe, port, uids, members, baseline):
     """Opens its share of the connections; sends the parent the arrival times once all have read an order."""
-    data = tuple(MemberData.of(*at) for at in member_addresses(members).values()) if not baseline else ()
+    data = (
+        tuple(MemberData.from_address(*at) for at in member_addresses(members).values())
+        if not baseline
+        else ()
+    )
     received, loop = [], asyncio.get_running_loop()
     for uid in uids:
         group_name = GroupName(uid.encode(), GROUP_NAME)
@@ -268,7 +272,7 @@
         nonlocal count
         reader, writer = await asyncio.open_connection("127.0.0.1", port, limit=4 << 20)
         group_name = GroupName(f"lb{k:04}".encode(), GROUP_NAME)
-        data = tuple(MemberData.of(*at) for at in member_addresses(members).values())
+        data = tuple(MemberData.from_address(*at) for at in member_addresses(members).values())
         writer.write(codec.encode(Register(2, True, ((group_name, data),))))
         await reader.readexactly(18)
         pipe.send("registered")
@@ -389,32 +393,32 @@
 
 
 def measure_brain_step(clients, members, rounds=40):
-    """Median times of the Brain's step after a batch of sums, without and with followers, run alternately."""
-    terms = gp.Terms(
+    """Median times of the Brain's step after a batch of reports, alternately without and with followers."""
+    parameters = gp.Parameters(
         routes=(gp.Route(1, 12_000),),
         list_mode="push",
-        must_ask_in=100_000,
+        resubscribe_deadline=100_000,
         probes_allowed=False,
         warm_after=150_000,
         start_share=0.2,
         fall_multiple=3.0,
-        gone_binds=True,
+        dropped_counts_as_gone=True,
         report_period=10_000,
         channel_lines=1e6,
         queue_limit=1e7,
-        head_lines=6.0,
+        message_overhead_lines=6.0,
         message_cap=0,
-        message_span=100_000,
+        message_cap_period=100_000,
         level_kind="none",
-        strikes=3,
+        failures_before_avoidance=3,
     )
     brains, times = [], ([], [])
     for followers in (0, clients):
-        brain = Brain(terms, 7)
+        brain = Brain(parameters, 7)
         brain.handle(
             0,
             [
-                gp.ListHeard(
+                gp.TaskListReceived(
                     "full",
                     tuple(gp.TaskLine(task, "z", 0, "ready", 1.0, 0) for task in member_addresses(members)),
                 )
@@ -422,17 +426,18 @@
         )
         brain.handle(0, [gp.ProxyJoined(proxy, 1.0, True, "z") for proxy in range(150)])
         brain.handle(
-            0, [gp.ProxyJoined(FIRST_FOLLOWER_NUMBER + k, 1.0, True, "z", True) for k in range(followers)]
+            0,
+            [gp.ProxyJoined(FIRST_FOLLOWER_PROXY_NUMBER + k, 1.0, True, "z", True) for k in range(followers)],
         )
         brains.append(brain)
     for round_number in range(1, rounds + 1):
         for brain, durations in zip(brains, times, strict=True):
             now = round_number * 20_000
-            brain.handle(now - 9_000, [gp.Applied(proxy, brain.mark, 100) for proxy in range(150)])
+            brain.handle(now - 9_000, [gp.OrdersApplied(proxy, brain.mark, 100) for proxy in range(150)])
             brain.handle(
                 now,
                 [
-                    gp.TaskSums(task, "z", 20, 0, 1_000.0 + (k * round_number) % 900, 10_000, {})
+                    gp.TaskReport(task, "z", 20, 0, 1_000.0 + (k * round_number) % 900, 10_000, {})
                     for k, task in enumerate(member_addresses(members))
                 ],
             )
@@ -527,7 +532,10 @@
 
 @click.command()
 @click.option(
-    "--flood", "flooded", is_flag=True, help="Measure the fronts under a flood of unreadable data instead."
+    "--flood",
+    "flooded",
+    is_flag=True,
+    help="Measure the front ends under a flood of unreadable data instead.",
 )
 @click.option("--clients", default="1,10,100,1000", help="Comma-separated numbers of clients.")
 @click.option(
@@ -535,7 +543,7 @@
 )
 @click.option("--json", "path", help="Also write the figures to this file.")
 def main(flooded, clients, members, path):
-    """Measures the fronts of the weight advice and prints a table."""
+    """Measures the front ends of the weight advice and prints a table."""
     logging.getLogger("asyncio").setLevel(logging.ERROR)  # hides warnings about writes to closed connections
     structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(logging.ERROR))
     if flooded:
@@ -558,7 +566,7 @@
     )
     for size in map(int, members.split(",")):
         name = GroupName(b"lb0000", GROUP_NAME)
-        entries = [(MemberData.of(*at), 0) for at in member_addresses(size).values()]
+        entries = [(MemberData.from_address(*at), 0) for at in member_addresses(size).values()]
         entry_bytes = b"".join(
             codec.entry(codec.member(member), 0, 0, weight, False) for member, weight in entries
         )
--- a/garnetpaddle/net/order_codec.py
+++ b/garnetpaddle/net/order_codec.py
@@ -1,16 +1,16 @@
 """Encoding of orders as the relay's form requests, parsing of its XML responses, translation of marks."""
 
-import xml.etree.ElementTree as xml
 from dataclasses import dataclass
 from typing import NamedTuple
 from urllib.parse import quote
+from xml.etree import ElementTree
 
 from garnetpaddle import interface as gp
 
 RETRY_MODES = {"none": 0, "on proof": 1, "once": 2}
-MAX_CALL_BYTES = 60_000  # encoded orders in one request
+MAX_REQUEST_BYTES = 60_000  # encoded orders in one request
 MARK_COUNT = 65_536  # wire marks are integers below this
-MAX_REMEMBERED_MARKS = 4_096  # latest marks sent, which an Applied event may still refer to
+MAX_REMEMBERED_MARKS = 4_096  # latest marks sent, which an OrdersApplied event may still refer to
 ERRORS_BEFORE_EXECUTION = frozenset({"limit", "malformed"})  # error codes of a request that was not executed
 MAX_COUNT_DIGITS = 9  # in the number of accepted orders
 SEPARATOR_BYTES = len("%3B")
@@ -38,7 +38,7 @@
 
 
 class MarkTranslator:
-    """Translates the brain's seal marks to wire marks and back.
+    """Translates the brain's marks to wire marks and back.
 
     Wire marks start at an offset derived from the seed, so that an acknowledgement of an earlier process's
     mark is not taken for one of this process's."""
@@ -56,84 +56,88 @@
         return mark
 
     def from_wire(self, event):
-        """An Applied event with the brain's mark; None if this process never sent the mark."""
+        """An OrdersApplied event with the brain's mark; None if this process never sent the mark."""
         if event.mark not in self.sent:
             return None
-        return gp.Applied(event.proxy, (event.mark - self.offset) % MARK_COUNT, event.elapsed)
+        return gp.OrdersApplied(event.proxy, (event.mark - self.offset) % MARK_COUNT, event.elapsed)
 
 
 def encode_order(order, routes, marks):
     """Encodes an order. routes: the route names by number; marks: a MarkTranslator."""
     match order:
-        case gp.SetLine():
+        case gp.SetWeight():
             return f"put,{order.table},{order.task},{order.weight!r}"
-        case gp.Bind():
+        case gp.BindProxy():
             return f"attach,{order.proxy},{order.table},*"
-        case gp.Withdraw():
-            return f"{'eject' if order.out else 'uneject'},{order.task}"
-        case gp.Admit():
+        case gp.WithdrawTask():
+            return f"{'eject' if order.withdrawn else 'uneject'},{order.task}"
+        case gp.SetAdmission():
             all_routes = len(order.routes) == len(routes)
             route_names = "*" if all_routes else "+".join(routes[k] for k in order.routes)
-            return f"gate,{order.table},{route_names},{order.level!r},{RETRY_MODES[order.tries]}"
-        case gp.Seal():
+            return f"gate,{order.table},{route_names},{order.level!r},{RETRY_MODES[order.retry_mode]}"
+        case gp.RequestAcknowledgement():
             return f"fence,{marks.to_wire(order.mark)},{int(order.all_proxies)}"
     raise TypeError(f"order has no encoding for the relay: {order!r}")
 
 
-def split_into_calls(orders, routes, marks, limit=MAX_CALL_BYTES):
+def split_into_requests(orders, routes, marks, limit=MAX_REQUEST_BYTES):
     """Encodes a batch of orders as requests, lists of EncodedOrder: several only above the byte limit.
 
     A fence goes first: it covers its whole request, and nothing after an order that is not accepted is
     executed. If the batch needs several requests, the fence goes last and to all proxies; otherwise it would
     reach only the proxies that its own request reaches."""
-    fence_first = sorted(orders, key=lambda order: not isinstance(order, gp.Seal))
+    fence_first = sorted(orders, key=lambda order: not isinstance(order, gp.RequestAcknowledgement))
     encoded = [EncodedOrder(order, encode_order(order, routes, marks)) for order in fence_first]
-    calls = list(split_by_size(encoded, limit))
-    if len(calls) > 1 and isinstance(fence_first[0], gp.Seal):
+    requests = list(split_by_size(encoded, limit))
+    if len(requests) > 1 and isinstance(fence_first[0], gp.RequestAcknowledgement):
         fence = encoded[0]
-        calls = list(split_by_size([*encoded[1:], EncodedOrder(fence.order, fence.text[:-1] + "1")], limit))
-    return calls
+        requests = list(
+            split_by_size([*encoded[1:], EncodedOrder(fence.order, fence.text[:-1] + "1")], limit)
+        )
+    return requests
 
 
 def split_by_size(encoded, limit):
     """Splits encoded orders into lists of at most `limit` bytes, each with at least one order."""
-    call, size = [], 0
+    request, size = [], 0
     for encoded_order in encoded:
         order_bytes = len(quote(encoded_order.text, safe="")) + SEPARATOR_BYTES
-        if call and size + order_bytes > limit:
-            yield call
-            call, size = [], 0
-        call.append(encoded_order)
+        if request and size + order_bytes > limit:
+            yield request
+            request, size = [], 0
+        request.append(encoded_order)
         size += order_bytes
-    if call:
-        yield call
+    if request:
+        yield request
 
 
-def remaining_after(call, accepted):
+def remaining_orders(request, accepted):
     """The orders of a request that are still to be sent after one that was not accepted.
 
     The fence is repeated, since a fence reaches only the proxies that its own request reaches, but not to
     all proxies: that would cost every proxy a message."""
-    fences = [encoded for encoded in call[:accepted] if isinstance(encoded.order, gp.Seal)]
-    remaining = call[accepted + 1 :]
+    fences = [
+        encoded for encoded in request[:accepted] if isinstance(encoded.order, gp.RequestAcknowledgement)
+    ]
+    remaining = request[accepted + 1 :]
     if not remaining:
         return []
     return [EncodedOrder(fence.order, fence.text[:-1] + "0") for fence in fences] + remaining
 
 
-def request_body(call):
+def request_body(request):
     """The form body of a request."""
-    changes = ";".join(encoded.text for encoded in call)
+    changes = ";".join(encoded.text for encoded in request)
     return b"Action=ApplyOrders&changes=" + quote(changes, safe="").encode()
 
 
 def parse_response(status, body, sent):
-    """Accepted or Rejected; None for a malformed or contradictory response, which leaves the call in doubt.
+    """Accepted or Rejected; None for a malformed or contradictory response: the request is in doubt.
 
     sent: the number of orders in the request."""
     try:
-        root = xml.fromstring(bytes(body))
-    except (xml.ParseError, ValueError):
+        root = ElementTree.fromstring(bytes(body))
+    except (ElementTree.ParseError, ValueError):
         return None
     counts = [(element.text or "").strip() for element in root.iter("taken")]
     if status == 200 and len(counts) == 1 and counts[0].isascii() and counts[0].isdigit():
--- a/garnetpaddle/net/order_sender.py
+++ b/garnetpaddle/net/order_sender.py
@@ -24,9 +24,10 @@
 
     def __init__(self, address, routes, marks, publish):
         self.address, self.routes, self.marks, self.publish = address, routes, marks, publish
-        self.queue, self.wake, self.link = collections.deque(), asyncio.Event(), None
+        self.queue, self.wake, self.connection = collections.deque(), asyncio.Event(), None
         self.failures, self.logged_state = 0, None
-        self.next_link, self.move_task = None, None  # the connection to a new address; the task that opens it
+        # next_connection: the connection to a new address; move_task: the task that opens it
+        self.next_connection, self.move_task = None, None
 
     def submit(self, orders):
         """Queues a batch of orders."""
@@ -44,36 +45,36 @@
     async def send_batch(self, orders):
         """Sends one batch; after an unexpected error it is reported as in doubt."""
         try:
-            await self.send_calls(order_codec.split_into_calls(orders, self.routes, self.marks))
+            await self.send_requests(order_codec.split_into_requests(orders, self.routes, self.marks))
         except Exception:
             log.exception("call_failed")
             self.publish(gp.OrdersLost(tuple(orders), True))
 
-    async def send_calls(self, calls):
+    async def send_requests(self, requests):
         """Sends the requests of one batch. After a failure neither the rest of the batch nor any queued batch
         is sent; all of them are reported as lost."""
         partly_sent = False
-        while calls:
-            call = calls.pop(0)
-            result = await self.send_request(call)
+        while requests:
+            request = requests.pop(0)
+            result = await self.send_request(request)
             if not isinstance(result, order_codec.Accepted):
-                await self.handle_failure(result, call, calls, partly_sent)
+                await self.handle_failure(result, request, requests, partly_sent)
                 return
             partly_sent, self.failures = True, 0
             self.log_state(None)
-            if result.count < len(call):
-                log.warning("order_not_taken", order=call[result.count].text)
-                remaining = order_codec.remaining_after(call, result.count)
-                calls = [remaining, *calls] if remaining else calls
+            if result.count < len(request):
+                log.warning("order_not_taken", order=request[result.count].text)
+                remaining = order_codec.remaining_orders(request, result.count)
+                requests = [remaining, *requests] if remaining else requests
 
-    async def handle_failure(self, result, call, later_calls, partly_sent):
+    async def handle_failure(self, result, request, later_requests, partly_sent):
         """Reports a failed request and everything queued behind it as lost, after a backoff."""
         in_doubt = isinstance(result, http.Unconfirmed) or partly_sent
         self.log_state(result)
         await asyncio.sleep(BACKOFF[min(self.failures, len(BACKOFF) - 1)])
         self.failures += 1
-        self.report_lost(call, in_doubt)
-        self.report_lost(list(itertools.chain.from_iterable(later_calls)), in_doubt)
+        self.report_lost(request, in_doubt)
+        self.report_lost(list(itertools.chain.from_iterable(later_requests)), in_doubt)
         while self.queue:
             self.publish(gp.OrdersLost(tuple(self.queue.popleft()), False))
 
@@ -87,27 +88,31 @@
         requests go to the old address."""
         if self.move_task:
             self.move_task.cancel()
-        if self.next_link:
-            self.next_link.close()
-        self.next_link = None
+        if self.next_connection:
+            self.next_connection.close()
+        self.next_connection = None
         self.move_task = asyncio.get_running_loop().create_task(self.connect_to(address))
 
     async def connect_to(self, address):
         """Retries until connected; requests go on meanwhile."""
         logged = None
-        while not isinstance(link := await http.connect(address, CONNECT_TIMEOUT), http.Connection):
-            if link.why != logged:
-                log.warning("move_waits", field="store.address", why=link.why)
-            logged = link.why
+        while not isinstance(connection := await http.connect(address, CONNECT_TIMEOUT), http.Connection):
+            if connection.why != logged:
+                log.warning("move_waits", field="store.address", why=connection.why)
+            logged = connection.why
             await asyncio.sleep(BACKOFF[-1])
-        self.next_link = link
+        self.next_connection = connection
 
-    def switch_link(self):
+    def switch_connection(self):
         """Replaces the connection by the one to a new address, if that is open."""
-        if self.next_link:
-            if self.link:
-                self.link.close()
-            self.link, self.address, self.next_link = self.next_link, self.next_link.address, None
+        if self.next_connection:
+            if self.connection:
+                self.connection.close()
+            self.connection, self.address, self.next_connection = (
+                self.next_connection,
+                self.next_connection.address,
+                None,
+            )
             log.info("calls_moved")
 
     def log_state(self, failure):
@@ -123,25 +128,27 @@
             case _:
                 log.warning("orders_lost", why=failure.why, perhaps=isinstance(failure, http.Unconfirmed))
 
-    async def send_request(self, call):
+    async def send_request(self, request):
         """Sends one request; returns Accepted, Rejected, NotSent or Unconfirmed."""
-        body = order_codec.request_body(call)
+        body = order_codec.request_body(request)
         for _ in range(ATTEMPTS):
-            self.switch_link()
-            if self.link and (not self.link.usable() or self.link.idle_seconds() > MAX_IDLE):
-                self.link.close()
-                self.link = None
-            if not self.link:
-                self.link = await http.connect(self.address, CONNECT_TIMEOUT)
-                if isinstance(self.link, http.NotSent):
-                    result, self.link = self.link, None
+            self.switch_connection()
+            if self.connection and (
+                not self.connection.is_usable() or self.connection.idle_seconds() > MAX_IDLE
+            ):
+                self.connection.close()
+                self.connection = None
+            if not self.connection:
+                self.connection = await http.connect(self.address, CONNECT_TIMEOUT)
+                if isinstance(self.connection, http.NotSent):
+                    result, self.connection = self.connection, None
                     return result
-            result = await self.link.call(
+            result = await self.connection.call(
                 "POST", "/v1/", RESPONSE_TIMEOUT, body, "application/x-www-form-urlencoded"
             )
             if not isinstance(result, http.NotSent):
                 break
         if isinstance(result, http.Response):
-            parsed = order_codec.parse_response(result.status, result.body, len(call))
+            parsed = order_codec.parse_response(result.status, result.body, len(request))
             return parsed or http.Unconfirmed(http.MALFORMED)
         return result
--- a/garnetpaddle/net/task_list_watch.py
+++ b/garnetpaddle/net/task_list_watch.py
@@ -9,10 +9,10 @@
 
 from garnetpaddle import interface as gp
 from garnetpaddle.net import http
-from garnetpaddle.net.configuration import Wrong, parse_address
+from garnetpaddle.net.configuration import ConfigurationError, parse_address
 from garnetpaddle.net.task_list_codec import TaskList, task_lines
 
-PATH = "/discovery/hosts"
+TASK_LIST_PATH = "/discovery/hosts"
 LONG_POLL_MS = 1_000  # long-poll time: a dead agent is noticed soon, and polls cost the agent nothing
 RESPONSE_TIMEOUT = 0.5  # s on top of the long-poll time
 CONNECT_TIMEOUT = 0.5  # s
@@ -39,7 +39,7 @@
                 continue
             try:
                 self.by_task[entry.task] = parse_address(entry.address, "hostPort")
-            except Wrong as error:
+            except ConfigurationError as error:
                 log.warning("address_unreadable", task=entry.task, why=str(error))
 
 
@@ -94,14 +94,14 @@
 
     async def poll(self):
         """Requests the full list at first, then waits for changes; returns ListResponse or ListFailure."""
-        if not self.connection or not self.connection.usable():
+        if not self.connection or not self.connection.is_usable():
             self.close()
             self.connection = await http.connect(self.address, CONNECT_TIMEOUT)
             if isinstance(self.connection, http.NotSent):
                 result, self.connection = self.connection, None
                 return ListFailure(result.why)
         first = self.since is None
-        target = PATH if first else f"{PATH}?since={self.since}&timeout_ms={LONG_POLL_MS}"
+        target = TASK_LIST_PATH if first else f"{TASK_LIST_PATH}?since={self.since}&timeout_ms={LONG_POLL_MS}"
         result = await self.connection.call(
             "GET", target, RESPONSE_TIMEOUT + (0 if first else LONG_POLL_MS / 1_000)
         )
@@ -124,10 +124,10 @@
 
 
 class TaskListWatch:
-    """Keeps a subscription to the task list and publishes it as gp.ListHeard.
+    """Keeps a subscription to the task list and publishes it as gp.TaskListReceived.
 
-    must_ask: a Watch order starts the subscription and a failure ends it; otherwise it is permanent.
-    generation: that of the last known list."""
+    must_ask: a SubscribeTaskList order starts the subscription and a failure ends it; otherwise it is
+    permanent. generation: that of the last known list."""
 
     def __init__(self, address, addresses, publish, must_ask, generation=0):
         self.agent, self.addresses, self.publish, self.must_ask = Agent(address), addresses, publish, must_ask
@@ -136,7 +136,7 @@
         self.subscribed, self.agent_replaced = asyncio.Event(), asyncio.Event()
 
     def subscribe(self):
-        """Handles a Watch order: the next list is published even if it is empty."""
+        """Handles a SubscribeTaskList order: the next list is published even if it is empty."""
         self.must_publish_next = True
         self.subscribed.set()
 
@@ -155,7 +155,7 @@
         try:
             while True:
                 if self.must_ask and not self.subscribed.is_set():
-                    result = None  # not subscribed: the next Watch order will poll the new agent
+                    result = None  # not subscribed: the next SubscribeTaskList order polls the new agent
                     break
                 result = await self.try_poll(agent)
                 attempts += 1
@@ -248,7 +248,7 @@
         if self.must_ask:
             self.subscribed.clear()
             self.must_publish_next = False
-            self.publish(gp.ListHeard("lost", ()))
+            self.publish(gp.TaskListReceived("lost", ()))
         else:
             await asyncio.sleep(BACKOFF[min(self.failures - 1, len(BACKOFF) - 1)])
 
@@ -263,4 +263,4 @@
         self.addresses.update(task_list)
         if response.lines or task_list.reset or self.must_publish_next:
             self.must_publish_next = False
-            self.publish(gp.ListHeard("full" if task_list.reset else "changes", response.lines))
+            self.publish(gp.TaskListReceived("full" if task_list.reset else "changes", response.lines))
--- a/garnetpaddle/book/snapshot_builder.py
+++ b/garnetpaddle/snapshots/snapshot_builder.py
@@ -5,9 +5,9 @@
 from types import MappingProxyType
 
 from garnetpaddle import interface as gp
-from garnetpaddle.book.snapshot import EMPTY, Level, Table, TaskRecord
+from garnetpaddle.snapshots.snapshot import EMPTY_SNAPSHOT, Level, Table, TaskRecord
 
-CLOSED_TASK_RETENTION = 6_000_000  # 10 min for which a task that drains or is gone is kept
+NOT_READY_TASK_RETENTION = 6_000_000  # 10 min for which a task that drains or is gone is kept
 MAX_PAST_WEIGHTS = 4  # kept per line: the most orders of one line that may be unconfirmed at a time
 
 
@@ -36,16 +36,16 @@
         """Records the order of a weight."""
         self.weights, self.in_doubt = (*self.weights[1 - MAX_PAST_WEIGHTS :], weight), False
 
-    def record_loss(self, weight, perhaps):
+    def record_loss(self, weight, possibly_executed):
         """Takes back an order of this weight that no answer has confirmed: the previous weight is in effect
-        again, but a removal stays. perhaps: the order may have been executed."""
+        again, but a removal stays. possibly_executed: the order may have been executed."""
         if weight <= 0 or weight not in self.weights:
-            self.in_doubt = self.in_doubt or perhaps and weight <= 0 and self.weight() <= 0
+            self.in_doubt = self.in_doubt or possibly_executed and weight <= 0 and self.weight() <= 0
             return
         position = len(self.weights) - 1 - self.weights[::-1].index(weight)
         newest = position == len(self.weights) - 1
         self.weights = self.weights[:position] + self.weights[position + 1 :]
-        self.in_doubt = self.in_doubt or perhaps and newest
+        self.in_doubt = self.in_doubt or possibly_executed and newest
 
 
 class TableBuilder:
@@ -71,15 +71,15 @@
         either may be in effect."""
         for route in routes:
             previous = self.previous_levels.get(route) or Level(1.0, "none")
-            self.levels[route] = Level(min(self.levels[route].part, previous.part), "none")
+            self.levels[route] = Level(min(self.levels[route].admitted, previous.admitted), "none")
 
 
 class SnapshotBuilder:
-    """gone_binds: whether a ready task that the list drops counts as gone (interface.Terms)."""
+    """dropped_counts_as_gone: as in interface.Parameters."""
 
-    def __init__(self, gone_binds=True):
-        self.gone_binds, self.snapshot = gone_binds, EMPTY
-        self.tables, self.bound, self.withdrawn, self.tasks, self.addresses = {}, {}, {}, {}, {}
+    def __init__(self, dropped_counts_as_gone=True):
+        self.dropped_counts_as_gone, self.snapshot = dropped_counts_as_gone, EMPTY_SNAPSHOT
+        self.tables, self.table_by_proxy, self.withdrawn, self.tasks, self.addresses = {}, {}, {}, {}, {}
         self.mark, self.newest_table, self.weight_changes = 0, None, 0
         self.changed_parts = set()  # of the snapshot, by this batch; never iterated, as its order is random
 
@@ -105,8 +105,8 @@
             self.drop_abandoned_tables()
             tables = {n: table.build(n) for n, table in self.tables.items() if table.lines}
             parts["tables"] = MappingProxyType(tables)
-        if "bound" in self.changed_parts:
-            parts["bound"] = MappingProxyType(dict(self.bound))
+        if "table_by_proxy" in self.changed_parts:
+            parts["table_by_proxy"] = MappingProxyType(dict(self.table_by_proxy))
         if "withdrawn" in self.changed_parts:
             parts["withdrawn"] = tuple(self.withdrawn)
         if "tasks" in self.changed_parts:
@@ -116,26 +116,28 @@
             generation=self.snapshot.generation + 1,
             at=now,
             mark=self.mark,
-            steered=self.weight_changes > 1,
+            weights_changed=self.weight_changes > 1,
             **parts,
         )
 
     def drop_abandoned_tables(self):
         """Removes abandoned tables that no proxy is bound to any more."""
-        bound = {number: True for number in self.bound.values()}
+        bound_tables = {number: True for number in self.table_by_proxy.values()}
         self.tables = {
             n: table
             for n, table in self.tables.items()
-            if n in bound or n == self.newest_table or not table.abandoned
+            if n in bound_tables or n == self.newest_table or not table.abandoned
         }
 
     def build_tasks(self):
         """Builds the parts that describe tasks. An address shared by two tasks maps to the ready one."""
-        ready_last = sorted(self.tasks.items(), key=lambda item: not item[1].closed())
+        ready_last = sorted(self.tasks.items(), key=lambda item: not item[1].is_not_ready())
         by_address = {canonical(t.address): k for k, t in ready_last if t.address}
         return {
             "tasks": MappingProxyType(dict(self.tasks)),
-            "closed": MappingProxyType({k: t.since for k, t in self.tasks.items() if t.closed()}),
+            "not_ready_since": MappingProxyType(
+                {k: t.since for k, t in self.tasks.items() if t.is_not_ready()}
+            ),
             "tasks_by_address": MappingProxyType(by_address),
         }
 
@@ -144,14 +146,14 @@
     def apply_event(self, now, event):
         """Applies the changes by an event."""
         match event:
-            case gp.ListHeard():
+            case gp.TaskListReceived():
                 self.apply_list(now, event)
             case gp.ProxyJoined() | gp.ProxyLeft():
                 self.unbind(event.proxy)
             case gp.OrdersLost():
                 for order in event.orders:
-                    self.record_lost_order(order, event.perhaps)
-            case gp.OrdersInDoubt():
+                    self.record_lost_order(order, event.possibly_executed)
+            case gp.ChannelStateUnknown():
                 self.mark_all_in_doubt()
 
     def mark_all_in_doubt(self):
@@ -161,15 +163,15 @@
             table.abandoned = True
             for line in table.lines.values():
                 line.in_doubt = True
-        self.bound = {}
-        self.changed_parts.update(("tables", "bound"))
+        self.table_by_proxy = {}
+        self.changed_parts.update(("tables", "table_by_proxy"))
 
     def apply_list(self, now, event):
         """Applies a full task list, or changes of it."""
-        if event.form == "lost":
+        if event.update_type == "lost":
             return
         named = {line.task: True for line in event.lines}
-        dropped = [k for k in self.tasks if event.form != "changes" and k not in named]
+        dropped = [k for k in self.tasks if event.update_type != "changes" and k not in named]
         for k in dropped:
             self.apply_state(now, k, "gone", None)
         for line in event.lines:
@@ -177,10 +179,12 @@
 
     def apply_state(self, now, task, state, line):
         """Applies a task's state by the Brain's rules: a drain lasts until a new start, and a ready task that
-        the list drops stays ready unless gone_binds."""
+        the list drops stays ready unless dropped_counts_as_gone."""
         known = self.tasks.get(task)
         if state == "gone" and (
-            known is None or known.state == "draining" or (known.state == "ready" and not self.gone_binds)
+            known is None
+            or known.state == "draining"
+            or (known.state == "ready" and not self.dropped_counts_as_gone)
         ):
             return
         started = line.started_at if line else known.started_at
@@ -201,8 +205,10 @@
                 self.changed_parts.add("tasks")
 
     def forget_expired_tasks(self, now):
-        """Removes tasks that were closed for the retention time and have no line in effect."""
-        expired = [k for k, t in self.tasks.items() if t.closed() and now - t.since >= CLOSED_TASK_RETENTION]
+        """Removes tasks that were not ready for the retention time and have no line in effect."""
+        expired = [
+            k for k, t in self.tasks.items() if t.is_not_ready() and now - t.since >= NOT_READY_TASK_RETENTION
+        ]
         for k in expired:
             if not any(k in table.lines and table.lines[k].weight() for table in self.tables.values()):
                 for table in self.tables.values():
@@ -215,19 +221,19 @@
     def apply_order(self, order):
         """Applies the changes by an order."""
         match order:
-            case gp.SetLine(table=number, task=task, weight=weight):
+            case gp.SetWeight(table=number, task=task, weight=weight):
                 self.set_line(number, task, weight)
-            case gp.Bind(proxy=proxy, table=number):
-                self.bound[proxy] = number
-                self.changed_parts.add("bound")
-            case gp.Withdraw(task=task, out=out):
+            case gp.BindProxy(proxy=proxy, table=number):
+                self.table_by_proxy[proxy] = number
+                self.changed_parts.add("table_by_proxy")
+            case gp.WithdrawTask(task=task, withdrawn=withdrawn):
                 self.withdrawn.pop(task, None)
-                self.withdrawn |= {task: True} if out else {}
+                self.withdrawn |= {task: True} if withdrawn else {}
                 self.changed_parts.add("withdrawn")
-            case gp.Admit(table=number, routes=routes, level=part, tries=tries):
-                self.table(number).set_levels(routes, Level(part, tries))
+            case gp.SetAdmission(table=number, routes=routes, level=admitted, retry_mode=retry_mode):
+                self.table(number).set_levels(routes, Level(admitted, retry_mode))
                 self.changed_parts.add("tables")
-            case gp.Seal(mark=mark):
+            case gp.RequestAcknowledgement(mark=mark):
                 self.mark = mark
                 self.changed_parts.add("mark")
 
@@ -239,24 +245,24 @@
         lines.setdefault(task, LineHistory()).record_order(weight)
         self.changed_parts.add("tables")
 
-    def record_lost_order(self, order, perhaps):
-        """Handles an order that no answer has confirmed. perhaps: it may have been executed."""
+    def record_lost_order(self, order, possibly_executed):
+        """Handles an order that no answer has confirmed. possibly_executed: it may have been executed."""
         match order:
-            case gp.SetLine(table=number, task=task, weight=weight) if number in self.tables:
+            case gp.SetWeight(table=number, task=task, weight=weight) if number in self.tables:
                 lines = self.tables[number].lines
                 if task in lines:
-                    lines[task].record_loss(weight, perhaps)
+                    lines[task].record_loss(weight, possibly_executed)
                     self.changed_parts.add("tables")
-            case gp.Bind(proxy=proxy):
+            case gp.BindProxy(proxy=proxy):
                 self.unbind(proxy)
-            case gp.Admit(table=number, routes=routes) if number in self.tables:
+            case gp.SetAdmission(table=number, routes=routes) if number in self.tables:
                 self.tables[number].record_lost_levels(routes)
                 self.changed_parts.add("tables")
 
     def unbind(self, proxy):
         """Removes a proxy's binding, if any."""
-        if self.bound.pop(proxy, None) is not None:
-            self.changed_parts.add("bound")
+        if self.table_by_proxy.pop(proxy, None) is not None:
+            self.changed_parts.add("table_by_proxy")
 
     def table(self, number):
         """The builder of a table; created if missing."""
--- a/tests/test_brain.py
+++ b/tests/test_brain.py
@@ -25,7 +25,7 @@
     play.sums["a"] = (10, 0, 400)
     play.say("no proxy acknowledges its table: no adjustment")
     play.run(8)
-    play.hear(*(gp.Applied(p, play.brain.mark, 0) for p in play.brain.proxies))
+    play.hear(*(gp.OrdersApplied(p, play.brain.mark, 0) for p in play.brain.proxies))
     play.say("acknowledged, but the reports now arrive 6 s late")
     play.next_report_at = 160_000
     play.run(15)
@@ -78,10 +78,10 @@
     play = Play()
     play.run(3)
     play.hear(changes(line("b", started=2.9)))
-    play.hear(*[gp.ProbeAnswered("b", 5_000, "timeout", {})] * 3)
+    play.hear(*[gp.ProbeFinished("b", 5_000, "timeout", {})] * 3)
     play.say(f"doubt {play.brain.tasks['b'].fault_evidence:.2f}")
     play.now += 6_000
-    play.hear(gp.ProbeAnswered("b", 5_000, "timeout", {}))
+    play.hear(gp.ProbeFinished("b", 5_000, "timeout", {}))
     play.say(f"doubt {play.brain.tasks['b'].fault_evidence:.2f}")
     assert play.trace[-2:] == ["       -- doubt 0.00", "       -- doubt 3.22"]
 
@@ -119,7 +119,7 @@
 
 
 def test_cold_tasks_get_lines_though_many_calls_fail_where_proxies_never_avoid_tasks():
-    play = Play(strikes=0)
+    play = Play(failures_before_avoidance=0)
     play.sums = {t: (20, 9, 900) for t in "abcd"}
     play.run(8)
     play.hear(changes(line("e", started=7.5)))
@@ -199,7 +199,7 @@
     """As a share, a level of 1 admits everything; as a rate, it admits one call a second at each proxy."""
     admissions = {}
     for kind in ("per_second", "fraction", "none"):
-        play = Play(level_kind=kind, tries="once")
+        play = Play(level_kind=kind, default_retry_mode="once")
         play.sums = dict.fromkeys("abcd", (10, 5, 200))
         play.run(6)
         admissions[kind] = [entry[7:] for entry in play.trace if "admit" in entry]
@@ -253,7 +253,7 @@
     play = Play(proxies=3)
     play.run(1)
     play.hear(*(gp.ProxyLeft(p) for p in range(3)))
-    play.hear(gp.ProxyLeft(9), gp.Applied(1, 1, 0), gp.RouteSums(1, 0, 5, 0, 10_000))
+    play.hear(gp.ProxyLeft(9), gp.OrdersApplied(1, 1, 0), gp.RouteReport(1, 0, 5, 0, 10_000))
     play.now += 200_000
     play.hear(*(gp.ProxyJoined(p, 20.0, False, "z") for p in range(3)))
     play.say("proxy 1 joins again without having left; then one joins as an adjustment changes no weight")
@@ -278,9 +278,9 @@
 
 
 def test_resubscribes_after_a_lost_list_with_growing_randomised_backoff():
-    play = Play(list_mode="ask", must_ask_in=100_000)
+    play = Play(list_mode="ask", resubscribe_deadline=100_000)
     for _ in range(4):
-        play.hear(gp.ListHeard("lost", ()))
+        play.hear(gp.TaskListReceived("lost", ()))
         play.run(3)
     play.matches("resubscribe_backoff")
 
@@ -288,14 +288,14 @@
 def test_an_empty_list_removes_the_lines_and_sums_of_gone_tasks_are_ignored():
     play = Play()
     play.run(1)
-    play.hear(gp.ListHeard("full", ()))
-    play.hear(gp.TaskSums("a", "z", 9, 9, 0.0, 10_000, {}), gp.ProbeAnswered("zz", 5, "ok", {}))
+    play.hear(gp.TaskListReceived("full", ()))
+    play.hear(gp.TaskReport("a", "z", 9, 9, 0.0, 10_000, {}), gp.ProbeFinished("zz", 5, "ok", {}))
     play.run(3)
-    play.hear(gp.ListHeard("full", tuple(line(t) for t in "abc")))
+    play.hear(gp.TaskListReceived("full", tuple(line(t) for t in "abc")))
     play.matches("list_emptied")
-    play = Play(gone_binds=False)
+    play = Play(dropped_counts_as_gone=False)
     play.hear(changes(line("a", "draining")))
-    play.hear(gp.ListHeard("full", ()))
+    play.hear(gp.TaskListReceived("full", ()))
     play.run(3)
     play.matches("list_emptied_gone_not_binding")
 
@@ -306,7 +306,7 @@
     for _ in range(2):
         play = Play(list_mode="ask")
         play.sums["a"] = (9, seed, 300)
-        play.hear(gp.ListHeard("lost", ()))
+        play.hear(gp.TaskListReceived("lost", ()))
         play.run(9)
         traces.append(play.trace)
     assert traces[0] == traces[1] and len(traces[0]) > 2
@@ -331,7 +331,7 @@
         assert play.brain.queue <= 900
     play.say(f"14 tasks leave, reckoned to wait: {play.brain.queue:.0f} lines")
     mark = play.brain.mark
-    play.hear(*(gp.Applied(p, mark, 0) for p in range(50, 52)))
+    play.hear(*(gp.OrdersApplied(p, mark, 0) for p in range(50, 52)))
     play.say(f"two proxies answer to what shut tasks out: {play.brain.queue:.0f} lines")
     play.matches("withdrawals_within_queue_limit")
 
@@ -357,7 +357,7 @@
     for p in range(100):
         play.hear(gp.ProxyJoined(p, 5.0, True, "z"))
     assert play.brain.mark == 100 and play.brain.queue == 100 * 15
-    play.hear(*(gp.Applied(p, p + 1, 0) for p in range(10)))
+    play.hear(*(gp.OrdersApplied(p, p + 1, 0) for p in range(10)))
     assert play.brain.queue == 90 * 15 and len(play.brain.sent_batches) == 90
 
 
@@ -365,23 +365,23 @@
     play = Play("abcd", 60, queue_limit=3_500.0, channel_lines=700.0, acknowledges=False)
     play.say(f"60 proxies are bound: {play.brain.queue:.0f} lines wait")
     play.hear(gp.ProxyJoined(60, 5.0, True, "z"))
-    play.hear(gp.Applied(60, play.brain.mark, 0))
+    play.hear(gp.OrdersApplied(60, play.brain.mark, 0))
     play.say(f"one more comes and answers first, as some streams have broken: {play.brain.queue:.0f}")
     play.hear(*(gp.ProxyLeft(p) for p in range(30, 50)))
     play.hear(*(gp.ProxyJoined(p, 5.0, True, "z") for p in range(30, 34)))
     play.say(f"20 leave, 4 come again: {play.brain.queue:.0f}")
     mark = play.brain.mark
-    play.hear(gp.Applied(30, mark, 0))
+    play.hear(gp.OrdersApplied(30, mark, 0))
     play.say(f"one of these answers before the others: {play.brain.queue:.0f}")
     play.now += 110_000
     play.brain.queue_updated_at = play.now
-    play.hear(gp.Applied(31, mark, 0))
+    play.hear(gp.OrdersApplied(31, mark, 0))
     play.say(f"long after, another: {play.brain.queue:.0f}")
     play.matches("broken_stream")
 
 
 def test_levels_that_apply_without_orders_are_not_ordered_until_they_change():
-    play = Play(tries="on proof")
+    play = Play(default_retry_mode="on proof")
     play.run(3)
     play.say("most calls fail")
     play.sums = {t: (20, 12, 200) for t in "abcd"}
@@ -390,7 +390,7 @@
 
 
 def test_all_departed_tasks_are_withdrawn_from_a_proxy_that_keeps_an_older_table():
-    play = Play("abcdefgh", 0, grace=30_000)
+    play = Play("abcdefgh", 0, drain_grace_period=30_000)
     play.run(0.1)
     play.hear(changes(*(line(k, "draining") for k in "abcdefg")))
     play.hear(gp.ProxyJoined(0, 5.0, False, "z"))
@@ -431,7 +431,7 @@
 def test_a_kind_gives_the_share_of_new_tasks_and_corrects_readings_of_few_calls():
     play = Play(tasks="")
     kinds = {"a": "big", "b": "big", "c": "small", "d": "small"}
-    play.hear(gp.ListHeard("full", tuple(line(t, kind=kind) for t, kind in kinds.items())))
+    play.hear(gp.TaskListReceived("full", tuple(line(t, kind=kind) for t, kind in kinds.items())))
     play.sums = {"a": (24, 0, 100), "b": (1, 0, 900), "c": (24, 0, 400), "d": (1, 0, 100)}
     play.run(12)
     play.hear(changes(line("e", kind="small"), line("f", kind="big")))
@@ -440,13 +440,13 @@
 
 
 def test_being_dropped_from_the_list_without_a_drain_only_counts_as_evidence():
-    play = Play(gone_binds=False)
+    play = Play(dropped_counts_as_gone=False)
     play.run(3)
     play.hear(changes(*(line(t, "gone") for t in "abc")))
     play.say("a, b and c are dropped; only a fails its calls")
     play.sums["a"], play.probes["a"] = (4, 4, 0), "unreachable"
     play.run(3)
-    play.hear(gp.ListHeard("full", tuple(line(t) for t in "abcd")))
+    play.hear(gp.TaskListReceived("full", tuple(line(t) for t in "abcd")))
     play.say("the list is correct again")
     play.run(1)
     play.matches("wrong_list")
@@ -475,8 +475,8 @@
 def test_invalid_input_is_ignored():
     play = Play(list_mode="ask")
     play.run(1)
-    play.hear(gp.ListHeard("full", (line("a"), line("a"), line("z", "draining"), line("b", "gone"))))
-    play.hear(gp.ListHeard("changes", (line("y", "gone"), line("b"), line("c", started=99))))
+    play.hear(gp.TaskListReceived("full", (line("a"), line("a"), line("z", "draining"), line("b", "gone"))))
+    play.hear(gp.TaskListReceived("changes", (line("y", "gone"), line("b"), line("c", started=99))))
     for tries, failures, ms, span in (
         (-3, 0, 1, 10_000),
         (3, 9, 1, 10_000),
@@ -486,13 +486,18 @@
         (3, 0, 5, -4),
         (3, 1, math.inf, 10_000),
     ):
-        play.hear(*(gp.TaskSums(t, "z", tries, failures, ms, span, {"busy": math.nan}) for t in "abyq"))
+        play.hear(*(gp.TaskReport(t, "z", tries, failures, ms, span, {"busy": math.nan}) for t in "abyq"))
         play.run(0.3)
-    play.hear(gp.ProxyLeft(77), gp.Applied(78, 5, 0), gp.Applied(0, 60_000, 0), gp.RouteSums(9, 2, -4, 0, 0))
+    play.hear(
+        gp.ProxyLeft(77),
+        gp.OrdersApplied(78, 5, 0),
+        gp.OrdersApplied(0, 60_000, 0),
+        gp.RouteReport(9, 2, -4, 0, 0),
+    )
     play.hear(gp.ProxyJoined(0, math.nan, False, "z"), gp.ProxyJoined(0, -1.0, False, "z"))
-    play.hear(gp.ProbeAnswered("y", 5, "ok", {}), gp.ProbeAnswered("none", 5, "timeout", {}))
+    play.hear(gp.ProbeFinished("y", 5, "ok", {}), gp.ProbeFinished("none", 5, "timeout", {}))
     play.run(8)
-    play.hear(gp.ListHeard("full", ()))
+    play.hear(gp.TaskListReceived("full", ()))
     play.run(2)
     play.matches("invalid_input")
 
@@ -523,10 +528,10 @@
     play.run(5)
     play.pending_events, play.acknowledges = [], False
     for bad in "ab":
-        play.hear(*(gp.ProbeAnswered(bad, 6_000, "timeout", {}) for _ in range(5)))
+        play.hear(*(gp.ProbeFinished(bad, 6_000, "timeout", {}) for _ in range(5)))
         play.say(f"{bad} fails its probes; {play.brain.queue:.0f} lines wait")
         play.run(0.5)
-    play.hear(*(gp.Applied(p, play.brain.mark, 0) for p in range(31)))
+    play.hear(*(gp.OrdersApplied(p, play.brain.mark, 0) for p in range(31)))
     play.run(0.2)
     play.matches("health_changes_together")
 
@@ -566,7 +571,7 @@
     play = Play()
     play.run(3)
     play.brain.report_round = 90_000  # so many pairs that each is told of every 9 s
-    play.hear(*(gp.ProbeAnswered("a", 6_000, "timeout", {}) for _ in range(5)))
+    play.hear(*(gp.ProbeFinished("a", 6_000, "timeout", {}) for _ in range(5)))
     play.run(4)
     assert [entry[7:] for entry in play.trace if "let back" in entry][0].startswith("a=")
 
@@ -587,7 +592,7 @@
 
 
 def test_proxies_avoid_tasks_sooner_with_fewer_lines_and_with_more_failures():
-    play = Play("abcdefgh", 40, strikes=60)
+    play = Play("abcdefgh", 40, failures_before_avoidance=60)
     assert play.brain.rarely_avoided("abcdefgh") and not play.brain.rarely_avoided("ab")
     play.brain.usual_failure_share = 0.7
     assert not play.brain.rarely_avoided("abcdefgh")
@@ -613,7 +618,7 @@
 
 
 def test_an_answered_probe_refutes_a_list_that_drops_the_task():
-    play = Play(gone_binds=False)
+    play = Play(dropped_counts_as_gone=False)
     play.run(1)
     play.hear(changes(*(line(t, "gone") for t in "abcd")))
     play.sums = {t: (4, 3, 300) for t in "abcd"}
@@ -648,7 +653,7 @@
     play.hear(changes(line("e", started=4)))
     play.run(4)
     assert "e" in laid(play.brain)
-    play.hear(*(gp.ProbeAnswered(t, 5_000, "ok", {"in_hand": 30.0}) for t in "abcde"))
+    play.hear(*(gp.ProbeFinished(t, 5_000, "ok", {"in_hand": 30.0}) for t in "abcde"))
     assert "e" not in laid(play.brain)
 
 
@@ -677,7 +682,9 @@
 
 
 def test_a_withdrawn_task_is_let_back_though_its_withdrawal_is_in_doubt():
-    play = Play(proxies=0, queue_limit=260.0, channel_lines=260.0, acknowledges=False, grace=5_000)
+    play = Play(
+        proxies=0, queue_limit=260.0, channel_lines=260.0, acknowledges=False, drain_grace_period=5_000
+    )
     play.hear(*(gp.ProxyJoined(p, 10.0 + p, True, "z") for p in range(12)))
     play.hear(changes(line("a", "draining")))
     play.run(0.1)
@@ -694,7 +701,7 @@
 
 def test_lost_levels_are_sent_again():
     play = Play(level_kind="fraction", acknowledges=False)
-    play.hear(gp.OrdersLost((gp.Admit(1, (0, 1, 2), 1.0, "on proof"),), True))
+    play.hear(gp.OrdersLost((gp.SetAdmission(1, (0, 1, 2), 1.0, "on proof"),), True))
     play.run(1)
     play.matches("lost_levels")
 
@@ -702,7 +709,7 @@
 def test_with_all_orders_in_doubt_a_new_table_is_ordered_and_bound_in_one_batch():
     play = Play(level_kind="fraction")
     play.run(2)
-    play.hear(gp.OrdersInDoubt(), gp.ProxyJoined(1, 20.0, True, "z"), gp.ProxyLeft(0))
+    play.hear(gp.ChannelStateUnknown(), gp.ProxyJoined(1, 20.0, True, "z"), gp.ProxyLeft(0))
     play.say(f"reckoned to wait: {play.brain.queue:.0f} lines")
     play.matches("orders_in_doubt")
 
@@ -712,7 +719,7 @@
     They got each line of the new table without pacing and uncounted in the queue, then all of it again."""
     play = Play(proxies=20)
     play.run(3)
-    play.hear(gp.OrdersInDoubt())
+    play.hear(gp.ChannelStateUnknown())
     play.say(f"reckoned to wait: {play.brain.queue:.0f} lines")
     for named in (range(12), range(12, 20)):
         play.hear(*(gp.ProxyJoined(p, 20.0, False, "z") for p in named))
@@ -754,7 +761,7 @@
 
 @pytest.mark.parametrize("gone_binds", [True, False])
 def test_state_of_tasks_that_left_for_good_is_removed(gone_binds):
-    play, kept = Play(queue_limit=400.0, gone_binds=gone_binds), []
+    play, kept = Play(queue_limit=400.0, dropped_counts_as_gone=gone_binds), []
     for n, old in enumerate([*"abcd", *(f"t{n}" for n in range(160))]):
         if n % 9 == 0:  # some join while there is no room: tasks are withdrawn, and let back once removed
             play.hear(*(gp.ProxyJoined(p, 5.0, True, "z") for p in range(n % 5, 12)))
@@ -781,9 +788,9 @@
         play.run(1)
         other.run(1)
         play.hear(
-            gp.ProbeAnswered("a", 5, "other", {}),
-            gp.TaskSums("nobody", "z", 90, 90, 0.0, 10_000, {}),
-            gp.TaskSums("b", "z", 90, 90, 0.0, 10**7, {}),
+            gp.ProbeFinished("a", 5, "other", {}),
+            gp.TaskReport("nobody", "z", 90, 90, 0.0, 10_000, {}),
+            gp.TaskReport("b", "z", 90, 90, 0.0, 10**7, {}),
         )
         other.hear()
     assert play.trace == other.trace and play.brain.tasks["a"].fault_evidence <= 0
@@ -802,7 +809,7 @@
     play.run(5)
     play.say(f"and 5 s later, with nothing heard: {play.brain.queue:.0f}")
     play.acknowledges = True
-    play.hear(gp.OrdersInDoubt(), *(gp.ProxyJoined(p, 5.0, False, "z") for p in range(20)))
+    play.hear(gp.ChannelStateUnknown(), *(gp.ProxyJoined(p, 5.0, False, "z") for p in range(20)))
     count = sum(p.bound for p in play.brain.proxies.values())
     number = play.brain.tables[0].number
     play.say(f"reckoned to wait: {play.brain.queue:.0f} lines for {count} bound to table {number}")
@@ -863,16 +870,16 @@
 
     def receive(self, orders, loss_probability):
         """Applies or loses these orders; returns the events that the Brain gets for them."""
-        orders = tuple(o for o in orders if not isinstance(o, gp.Timer | gp.Note | gp.Probe))
+        orders = tuple(o for o in orders if not isinstance(o, gp.SetTimer | gp.LogMessage | gp.SendProbe))
         lost, perhaps = self.draw() < loss_probability, self.draw() < 0.5
         for o in () if lost and (not perhaps or self.draw() < 0.5) else orders:
             match o:
-                case gp.SetLine():
+                case gp.SetWeight():
                     self.tables.setdefault(o.table, {})[o.task] = o.weight
-                case gp.Bind():
+                case gp.BindProxy():
                     self.bound[o.proxy] = o.table
-                case gp.Withdraw():
-                    self.withdrawn[o.task] = o.out
+                case gp.WithdrawTask():
+                    self.withdrawn[o.task] = o.withdrawn
         return [gp.OrdersLost(orders, perhaps)] if lost and orders else []
 
 
@@ -895,7 +902,7 @@
             if draw() < 0.02:
                 if draw() < 0.5:  # else the relay keeps its state
                     relay.tables, relay.bound, relay.withdrawn = {}, {}, {}
-                events.append(gp.OrdersInDoubt())
+                events.append(gp.ChannelStateUnknown())
                 events += [gp.ProxyJoined(p, 5.0, False, "z") for p in play.brain.proxies]
         play.now += 1_000 * (turn % 2)
         play.hear(*events)
@@ -911,7 +918,7 @@
 
 def play_with_follower(rate=5_000.0, **options):
     play = Play(**options)
-    play.hear(gp.ProxyJoined(70_000, rate, True, "z", aside=True))
+    play.hear(gp.ProxyJoined(70_000, rate, True, "z", external=True))
     return play
 
 
@@ -945,14 +952,14 @@
     play = play_with_follower(acknowledges=False)
     play.run(1)
     waiting = play.brain.queue
-    play.hear(gp.Applied(70_000, play.brain.mark, 5))
+    play.hear(gp.OrdersApplied(70_000, play.brain.mark, 5))
     assert play.brain.queue == waiting > 0
 
 
 def test_external_followers_cause_no_withdrawals_and_wait_like_proxies_after_a_restart():
     play = Play(proxies=0)
     play.sums = {}
-    play.hear(gp.ProxyJoined(70_000, 5.0, False, "z", aside=True))
+    play.hear(gp.ProxyJoined(70_000, 5.0, False, "z", external=True))
     play.hear(changes(line("a", "draining")))
     assert not play.brain.proxies[70_000].bound and not play.brain.withdrawn
     play.run(5.9)
@@ -964,7 +971,7 @@
 def test_sums_count_from_the_first_proxy_behind_the_channel():
     """An external follower that joined hours earlier does not make the first reports look late."""
     play = Play(proxies=0)
-    play.hear(gp.ProxyJoined(70_000, 5.0, True, "z", aside=True))
+    play.hear(gp.ProxyJoined(70_000, 5.0, True, "z", external=True))
     play.run(60)
     play.hear(*(gp.ProxyJoined(p, 20.0, True, "z") for p in range(2)))
     assert play.brain.first_join_at == play.now and play.brain.effective_at["weights"] == play.now
@@ -973,6 +980,6 @@
 def test_the_own_part_depends_only_on_the_proxies_behind_the_channel():
     play = Play(tasks="abcdefgh", proxies=20, total=400, assigners=4, queue_limit=500.0)
     before = [t.id for t in play.brain.own_tasks]
-    play.hear(*(gp.ProxyJoined(70_000 + n, 5.0, True, "z", aside=True) for n in range(300)))
+    play.hear(*(gp.ProxyJoined(70_000 + n, 5.0, True, "z", external=True) for n in range(300)))
     play.run(0.3)
     assert [t.id for t in play.brain.own_tasks] == before and len(before) < 8
--- a/tests/test_rehearsal.py
+++ b/tests/test_rehearsal.py
@@ -10,7 +10,7 @@
 from helper import matches
 
 from garnetpaddle import interface as gp
-from garnetpaddle.operator import InvalidFile
+from garnetpaddle.operator import InvalidFileError
 from garnetpaddle.rehearsal import Simulation, events, read
 from garnetpaddle.rehearsal.compare import differences, first_divergence
 from garnetpaddle.rehearsal.model import Call, Node, Proxy, Scheduler
@@ -430,13 +430,13 @@
     """A Brain that ignores changes of the list keeps sending to a node that drains."""
     from garnetpaddle.brain import Brain
 
-    on_task_list = Brain.on_task_list
+    on_task_list_received = Brain.on_task_list_received
 
     def ignore_changes(self, now, event):
-        if event.form == "stale":
-            on_task_list(self, now, event)
+        if event.update_type == "stale":
+            on_task_list_received(self, now, event)
 
-    monkeypatch.setitem(Brain.HANDLERS, gp.ListHeard, ignore_changes)
+    monkeypatch.setitem(Brain.HANDLERS, gp.TaskListReceived, ignore_changes)
     result = Simulation(write_script(tmp_path, trouble_block("d", "drain", 4, 15, nodes='["near-1"]'))).run()
     assert [b.rule for b in result.violations] == ["drain"] and result.violations[0].orders
 
@@ -470,7 +470,7 @@
     for name, text in INVALID_SCRIPTS.items():
         path = tmp_path / f"{name}.hcl"
         path.write_text(text)
-        with pytest.raises(InvalidFile) as caught:
+        with pytest.raises(InvalidFileError) as caught:
             read(str(path))
         trace += [f"{name}:", *(str(f).replace(f"{tmp_path}{os.sep}", "") for f in caught.value.diagnostics)]
     matches("rehearsal_diagnostics", trace)
@@ -588,7 +588,7 @@
     whole = list(events.read(path))
     assert len(whole) > 100 and whole[0][0] == batches[0][0]
     assert [o for _, _, ordered in whole for o in ordered if o.startswith("SetLine")] == [
-        str(o) for *_, orders in batches for o in orders if isinstance(o, gp.SetLine)
+        str(o) for *_, orders in batches for o in orders if isinstance(o, gp.SetWeight)
     ]
     path.write_bytes(path.read_bytes()[:-2_000])
     cut = list(events.read(path))
--- a/tests/test_sasp.py
+++ b/tests/test_sasp.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 
 from garnetpaddle import interface as gp
-from garnetpaddle.advice.leases import FIRST_FOLLOWER_NUMBER
+from garnetpaddle.advice.leases import FIRST_FOLLOWER_PROXY_NUMBER
 from garnetpaddle.advice.session_events import (
     BytesAcknowledged,
     CloseConnection,
@@ -25,11 +25,11 @@
     WriteBytes,
 )
 from garnetpaddle.advice.session_registry import Follower, GroupRoute, SessionRegistry
-from garnetpaddle.book import SnapshotBuilder
 from garnetpaddle.sasp import codec, constants
 from garnetpaddle.sasp import messages as m
 from garnetpaddle.sasp.constants import MessageType, ResponseCode
 from garnetpaddle.sasp.session import Session
+from garnetpaddle.snapshots import SnapshotBuilder
 
 GOLDEN = {
     # A registration by a balancer: one group, one member.
@@ -40,7 +40,9 @@
        3010 001a 06 1388                # member data, length 26, TCP, port 5000
          00000000000000000000ffff0a010012  # 10.1.0.18, mapped
          02 6e31                        # label "n1"
-    """: m.Register(7, True, ((m.GroupName(b"LB1", b"is"), (m.MemberData.of("10.1.0.18", 5000, "n1"),)),)),
+    """: m.Register(
+        7, True, ((m.GroupName(b"LB1", b"is"), (m.MemberData.from_address("10.1.0.18", 5000, "n1"),)),)
+    ),
     """2010 000d 01 00000012 00000007   # header of a message of 18 bytes, id 7
        1015 0005 45                     # registration reply, length 5, code 0x45
     """: m.Reply(7, MessageType.REGISTER_REPLY, ResponseCode.LB_UNKNOWN_YET),
@@ -66,7 +68,12 @@
         9,
         ResponseCode.SUCCESS,
         5,
-        ((m.GroupName(b"LB1", b"is"), (m.WeightEntry(m.MemberData.of("2001:db8::1", 443), 10_000, 0x0D),)),),
+        (
+            (
+                m.GroupName(b"LB1", b"is"),
+                (m.WeightEntry(m.MemberData.from_address("2001:db8::1", 443), 10_000, 0x0D),),
+            ),
+        ),
     ),
     # Send Weights with a quiesced member; lengths include nested components.
     """2010 000d 01 00000044 00000002
@@ -78,7 +85,12 @@
          02 07 0000                     # state 2, flags contact, quiesce, registration; weight 0
     """: m.SendWeights(
         2,
-        ((m.GroupName(b"LB1", b"is"), (m.WeightEntry(m.MemberData.of("2001:db8::1", 443), 0, 0x07, 2),)),),
+        (
+            (
+                m.GroupName(b"LB1", b"is"),
+                (m.WeightEntry(m.MemberData.from_address("2001:db8::1", 443), 0, 0x07, 2),),
+            ),
+        ),
         inclusive_lengths=True,
     ),
     """2010 000d 01 00000017 00000003
@@ -94,7 +106,12 @@
     """: m.SetMemberState(
         4,
         True,
-        ((m.GroupName(b"LB1", b"is"), (m.StateEntry(m.MemberData.of("10.1.0.18", 5000, "n1"), 9, True),)),),
+        (
+            (
+                m.GroupName(b"LB1", b"is"),
+                (m.StateEntry(m.MemberData.from_address("10.1.0.18", 5000, "n1"), 9, True),),
+            ),
+        ),
     ),
 }
 
@@ -174,16 +191,19 @@
 
 
 def test_oversized_message_raises_encode_error():
-    name, members = m.GroupName(b"x", b"y"), tuple(m.MemberData.of("10.0.0.1", k) for k in range(3_000))
+    name, members = (
+        m.GroupName(b"x", b"y"),
+        tuple(m.MemberData.from_address("10.0.0.1", k) for k in range(3_000)),
+    )
     assert codec.encode(m.Register(1, True, ((name, members),)))
     with pytest.raises(codec.EncodeError):
         codec.encode(m.Register(1, True, ((name, members),), inclusive_lengths=True))
 
 
 def test_addresses_match_the_task_list():
-    assert m.MemberData.of("10.1.0.18", 1).endpoint == ("10.1.0.18", 1)
+    assert m.MemberData.from_address("10.1.0.18", 1).endpoint == ("10.1.0.18", 1)
     assert m.MemberData(6, 1, bytes(12) + bytes([10, 1, 0, 18])).endpoint == ("10.1.0.18", 1)
-    assert m.MemberData.of("::1", 1).endpoint == ("::1", 1)
+    assert m.MemberData.from_address("::1", 1).endpoint == ("::1", 1)
     assert all(source in ("memory", "derived") for _, _, source in constants.FIELD_SOURCES)
 
 
@@ -220,8 +240,8 @@
         self.registry = SessionRegistry(GROUPS, followers, lease_specs, grace_period, 150_000, started_at)
         self.sessions, self.written, self.hold_acks, self.published_events = {}, {}, {}, []
         self.apply_batch(
-            [gp.ListHeard("full", tuple(map(line, TASKS)))],
-            [gp.SetLine(1, k, 1.0) for k in TASKS] if with_weights else [],
+            [gp.TaskListReceived("full", tuple(map(line, TASKS)))],
+            [gp.SetWeight(1, k, 1.0) for k in TASKS] if with_weights else [],
             ADDRESSES,
         )
 
@@ -246,7 +266,7 @@
             self.dispatch(connection, SnapshotPublished(snapshot))
 
     def bind(self, *proxies):
-        self.apply_batch([], [gp.Bind(proxy, 1) for proxy in proxies or (FIRST_FOLLOWER_NUMBER,)])
+        self.apply_batch([], [gp.BindProxy(proxy, 1) for proxy in proxies or (FIRST_FOLLOWER_PROXY_NUMBER,)])
 
     def advance(self, seconds):
         """Advances the clock and fires due timers."""
@@ -285,7 +305,7 @@
                     del self.sessions[connection]
                     self.timers.pop(connection, None)
                 case PublishEvent(event):
-                    if not isinstance(event, gp.Applied):
+                    if not isinstance(event, gp.OrdersApplied):
                         self.record(connection, f"brain: {type(event).__name__} {event.proxy}")
                     self.published_events.append(event)
                     self.snapshot_builder.update(self.now, [event], [])
@@ -354,7 +374,7 @@
 
 
 def member_data(port, label="", host="10.0.0.1"):
-    return m.MemberData.of(host, port, label)
+    return m.MemberData.from_address(host, port, label)
 
 
 def register(*ports, group="status", uid="LB1", lb=True, id=1, **options):
@@ -386,7 +406,7 @@
     harness.bind()
     harness.receive(GET_WEIGHTS)
     harness.note("weights change; it polls, nothing is pushed")
-    harness.apply_batch([], [gp.SetLine(1, "a", 1.5), gp.SetLine(1, "b", 0.5)])
+    harness.apply_batch([], [gp.SetWeight(1, "a", 1.5), gp.SetWeight(1, "b", 0.5)])
     harness.receive(m.GetWeights(3, (group_name(),)))
     harness.receive(m.GetWeights(3, (group_name("charge"),)))
     harness.note("it deregisters one member, then all")
@@ -402,17 +422,17 @@
     harness.note("all weights change, and change again within the update interval")
     for n, weights in enumerate(((1.4, 0.6, 1.0), (1.8, 0.2, 1.0), (2.0, 0.5, 0.5))):
         harness.now += 1_000 * n
-        harness.apply_batch([], [gp.SetLine(1, k, w) for k, w in zip(TASKS, weights, strict=True)])
+        harness.apply_batch([], [gp.SetWeight(1, k, w) for k, w in zip(TASKS, weights, strict=True)])
     harness.advance(2)
     harness.note("from now on it requests only changed members")
     harness.receive(lb_state(no_change=True))
-    harness.apply_batch([], [gp.SetLine(1, "c", 0.7)])
+    harness.apply_batch([], [gp.SetWeight(1, "c", 0.7)])
     harness.advance(2)
     harness.note("nothing is acknowledged: one update is in flight, no other is sent")
     harness.hold_acks[1] = True
-    harness.apply_batch([], [gp.SetLine(1, "a", 1.0)])
+    harness.apply_batch([], [gp.SetWeight(1, "a", 1.0)])
     harness.now += 12_000
-    harness.apply_batch([], [gp.SetLine(1, "a", 0.9), gp.SetLine(1, "b", 0.8)])
+    harness.apply_batch([], [gp.SetWeight(1, "a", 0.9), gp.SetWeight(1, "b", 0.8)])
     harness.note("the update is acknowledged: the newest one is sent")
     harness.hold_acks[1] = False
     harness.acknowledge()
@@ -423,7 +443,7 @@
 def test_drain_is_pushed_at_once_and_must_be_confirmed():
     harness = registered_balancer()
     harness.advance(1.5)
-    harness.apply_batch([], [gp.SetLine(1, "a", 1.5)])
+    harness.apply_batch([], [gp.SetWeight(1, "a", 1.5)])
     harness.note("a drains within the update interval; the client sends a message")
     harness.apply_batch([changes(line("a", "draining"))])
     harness.receive(lb_state())
@@ -486,7 +506,7 @@
     harness.apply_batch([changes(line("a", "draining"))])
     harness.receive(lb_state())
     harness.note("an outdated order for a, a lost connection, a new connection")
-    harness.apply_batch([changes(line("a", "gone"))], [gp.SetLine(1, "a", 1.0)])
+    harness.apply_batch([changes(line("a", "gone"))], [gp.SetWeight(1, "a", 1.0)])
     harness.dispatch(1, ConnectionLost("reset"))
     harness.sessions.pop(1)
     harness.now += 40_000
@@ -503,13 +523,13 @@
     harness = SessionHarness(with_weights=False, started_at=995_000).open()
     harness.receive(lb_state())
     harness.receive(register(1, 2, 3))
-    assert harness.published_events == [gp.ProxyJoined(FIRST_FOLLOWER_NUMBER, 40.0, False, "z", True)]
+    assert harness.published_events == [gp.ProxyJoined(FIRST_FOLLOWER_PROXY_NUMBER, 40.0, False, "z", True)]
     harness.receive(GET_WEIGHTS)
     harness.note("bound before the table has any weight")
     harness.bind()
     harness.receive(GET_WEIGHTS)
     harness.note("the first table with weights")
-    harness.apply_batch([], [gp.SetLine(1, "a", 1.0), gp.SetLine(1, "b", 1.0)])
+    harness.apply_batch([], [gp.SetWeight(1, "a", 1.0), gp.SetWeight(1, "b", 1.0)])
     harness.advance(1)
     matches("sasp_restart", harness.trace)
 
@@ -584,7 +604,7 @@
     for retries in ("any", "on proof", "none"):
         for tries in ("on proof", "none"):
             harness = SessionHarness(retries)
-            harness.apply_batch([], [gp.Admit(1, (0, 1, 2), 1.0, tries)])
+            harness.apply_batch([], [gp.SetAdmission(1, (0, 1, 2), 1.0, tries)])
             harness.open().receive(register(1, group="charge"))
             trace += [f"follower retries: {retries}; Brain allows: {tries}", *(x[9:] for x in harness.trace)]
     matches("sasp_mutating_route", trace)
@@ -594,9 +614,9 @@
     harness = registered_balancer()
     harness.receive(register(1, 2, group="charge"))
     harness.advance(2)
-    harness.apply_batch([], [gp.Admit(1, (2,), 0.0, "none")])
+    harness.apply_batch([], [gp.SetAdmission(1, (2,), 0.0, "none")])
     harness.advance(2)
-    harness.apply_batch([], [gp.Admit(1, (2,), 0.5, "none")])
+    harness.apply_batch([], [gp.SetAdmission(1, (2,), 0.5, "none")])
     harness.advance(2)
     matches("sasp_route_not_admitted", harness.trace)
 
@@ -634,7 +654,7 @@
     harness.open(2)
     harness.receive(lb_state(uid="LB2"), 2)
     harness.receive(register(1, 2, uid="LB2"), 2)
-    harness.bind(FIRST_FOLLOWER_NUMBER, FIRST_FOLLOWER_NUMBER + 1)
+    harness.bind(FIRST_FOLLOWER_PROXY_NUMBER, FIRST_FOLLOWER_PROXY_NUMBER + 1)
     harness.advance(2)
     harness.apply_batch([changes(line("a", "draining"))])
     harness.receive(lb_state(), 1)
--- a/tests/test_task_registry.py
+++ b/tests/test_task_registry.py
@@ -110,10 +110,14 @@
         self.names = [f"t{number:05}" for number in range(tasks)]
         assigners = max(tasks // PROBED, 1)
         terms = dataclasses.replace(
-            TERMS, proxies=PROXIES * assigners, assigners=assigners, channel_lines=20.0, strikes=8
+            TERMS,
+            proxies=PROXIES * assigners,
+            assigners=assigners,
+            channel_lines=20.0,
+            failures_before_avoidance=8,
         )
         self.brain, self.now, self.pending_events = Brain(terms, 7), 0, []
-        self.handle_batch(gp.ListHeard("full", tuple(line(name) for name in self.names)))
+        self.handle_batch(gp.TaskListReceived("full", tuple(line(name) for name in self.names)))
         self.handle_batch(*(gp.ProxyJoined(proxy, 5.0, True, "z") for proxy in range(PROXIES)))
         for _ in range(90):
             self.beat()
@@ -121,10 +125,12 @@
     def handle_batch(self, *events):
         orders = self.brain.handle(self.now, events)
         self.pending_events += [
-            gp.ProbeAnswered(o.task, 500, "ok", {}) for o in orders if isinstance(o, gp.Probe)
+            gp.ProbeFinished(o.task, 500, "ok", {}) for o in orders if isinstance(o, gp.SendProbe)
+        ]
+        marks = [o.mark for o in orders if isinstance(o, gp.RequestAcknowledgement)]
+        self.pending_events += [
+            gp.OrdersApplied(proxy, mark, 500) for mark in marks for proxy in range(PROXIES)
         ]
-        marks = [o.mark for o in orders if isinstance(o, gp.Seal)]
-        self.pending_events += [gp.Applied(proxy, mark, 500) for mark in marks for proxy in range(PROXIES)]
 
     def beat(self, *events):
         self.now += 1_000
@@ -135,11 +141,11 @@
 CHANGES = {
     "nothing": lambda assigner: (),
     "a report": lambda assigner: (
-        gp.TaskSums(assigner.brain.own_tasks[0].id, "z", 10, 0, 200.0, 10_000, {}),
+        gp.TaskReport(assigner.brain.own_tasks[0].id, "z", 10, 0, 200.0, 10_000, {}),
     ),
-    "an answer": lambda assigner: (gp.Applied(0, assigner.brain.mark, 500),),
+    "an answer": lambda assigner: (gp.OrdersApplied(0, assigner.brain.mark, 500),),
     "a join": lambda assigner: (gp.ProxyJoined(0, 5.0, True, "z"),),
-    "a probe": lambda assigner: (gp.ProbeAnswered(assigner.brain.own_tasks[0].id, 500, "ok", {}),),
+    "a probe": lambda assigner: (gp.ProbeFinished(assigner.brain.own_tasks[0].id, 500, "ok", {}),),
 }
 
 
@@ -159,7 +165,7 @@
     assigner = Assigner(4_000)
     probed = [act for _, _, act, _ in assigner.brain.timers if act is Brain.probe]
     assert len(probed) == PROBED
-    assigner.beat(gp.ListHeard("changes", (line(assigner.brain.own_tasks[0].id, "draining"),)))
+    assigner.beat(gp.TaskListReceived("changes", (line(assigner.brain.own_tasks[0].id, "draining"),)))
     for _ in range(12):
         assigner.beat()
     probed = [task.id for _, _, act, task in assigner.brain.timers if act is Brain.probe]
@@ -170,23 +176,25 @@
     """Searching a list and walking all tasks for each line took over 20 s of a core for 13,000 lines."""
     work = {}
     for tasks in (500, 4_000):
-        listed = gp.ListHeard("full", tuple(line(f"t{number:05}") for number in range(tasks)))
+        listed = gp.TaskListReceived("full", tuple(line(f"t{number:05}") for number in range(tasks)))
         brain = Brain(dataclasses.replace(TERMS, proxies=4_000, assigners=400, channel_lines=20.0), 7)
-        brain.handle(0, [gp.ListHeard("full", listed.lines[: tasks // 2])])
+        brain.handle(0, [gp.TaskListReceived("full", listed.lines[: tasks // 2])])
         work[tasks] = steps_of(lambda brain=brain, listed=listed: brain.handle(10, [listed]))
     assert work[4_000] < 10 * work[500], work
 
 
 NAMES, STATES = st.sampled_from("abcdef"), st.sampled_from(("ready", "ready", "draining", "gone"))
 LINES = st.lists(st.builds(line, NAMES, STATES, st.sampled_from((0, 0, 1, 2))), max_size=8)
-LISTS = st.builds(gp.ListHeard, st.sampled_from(("changes", "full", "stale", "lost")), LINES.map(tuple))
+LISTS = st.builds(
+    gp.TaskListReceived, st.sampled_from(("changes", "full", "stale", "lost")), LINES.map(tuple)
+)
 PROBES = st.builds(
-    lambda name, outcome: gp.ProbeAnswered(name, 10, outcome, {}),
+    lambda name, outcome: gp.ProbeFinished(name, 10, outcome, {}),
     NAMES,
     st.sampled_from(("ok", "unreachable")),
 )
 REPORTS = st.builds(
-    lambda name, failures: gp.TaskSums(name, "z", 9, failures, 200.0, 10_000, {}), NAMES, st.integers(0, 9)
+    lambda name, failures: gp.TaskReport(name, "z", 9, failures, 200.0, 10_000, {}), NAMES, st.integers(0, 9)
 )
 BATCHES = st.lists(st.tuples(st.lists(LISTS | PROBES | REPORTS, max_size=3), st.integers(1, 400_000)))
 
@@ -195,7 +203,7 @@
 @given(BATCHES, st.booleans())
 def test_the_indexes_agree_with_any_sequence_of_task_lists(batches, gone_binds):
     """Lists may name a task twice, drop it, list it again, be older than the last one or be empty."""
-    brain, now = Brain(dataclasses.replace(TERMS, gone_binds=gone_binds), 7), 0
+    brain, now = Brain(dataclasses.replace(TERMS, dropped_counts_as_gone=gone_binds), 7), 0
     brain.handle(0, [gp.ProxyJoined(0, 5.0, True, "z")])
     for events, elapsed in batches:
         now += elapsed
