--- a/garnetpaddle/brain.py
+++ b/garnetpaddle/brain.py
@@ -3,10 +3,14 @@
 `orders = Brain(parameters, seed).handle(now, events)`, with types of garnetpaddle/interface and now in tenths
 of a ms
 
-A table holds a line, a task with its weight, for each task that the proxies bound to it may call. Orders
-reach the proxies as messages through a channel of limited lines a second; a message costs its own lines and
-an overhead. Each batch of messages has a mark, and a proxy acknowledges the mark up to which it has applied
-them.
+An assigner is one of several processes that choose which tasks the proxies call. Each proxy joins one
+assigner, which orders the ready tasks or, in a large fleet, a part of them (`own_tasks`). A table holds a
+line, a task with its weight, for each task that the proxies bound to it may call; a bound proxy is one that
+follows a table of this assigner.
+
+The channel is the relay's path from an assigner to its proxies, limited in lines a second. Orders pass it as
+messages, whose cost is one line for each table line, route or task that they change, and an overhead. Each
+batch of messages has a mark, and a proxy acknowledges the mark up to which it has applied them.
 """
 
 import dataclasses
@@ -25,7 +29,7 @@
 # Timers
 TICK_TENTHS_MS = 1_000  # 0.1 s: well below every delay that has to be noticed
 RESUBSCRIBE_BACKOFF_TENTHS_MS = 3_000  # 0.3 s: first wait before subscribing again, doubled and randomised
-# 3 s without an acknowledgement, longer than a stall: from then on the queue shrinks by time alone.
+# 3 s without an acknowledgement, longer than a stall: from then on the estimated queue shrinks by time alone.
 CHANNEL_SILENCE_TENTHS_MS = 30_000
 DEPARTED_LINE_TENTHS_MS = 600_000  # 60 s: how long an unreachable proxy may hold the line of a task that left
 # 6 s: how long proxies keep tables ordered before this start, which fit better than even shares
@@ -36,7 +40,9 @@
 MAX_SHARE_INCREASE_RATIO = 2.0  # per step
 MAX_SHARE_DECREASE_RATIO = 3.0  # per step: an overload must be left quickly
 MIN_SHARE_RATIO = 0.2  # of the average share: enough calls to go on observing a task
-SHARE_EXPONENT = 0.7  # in the headroom: 0 aims at equal latency, 1 at equal calls in flight
+# Of the share in the headroom, 1 / (latency x share ** exponent): 0 aims at equal latency, 1 at equal calls
+# in flight.
+SHARE_EXPONENT = 0.7
 PRIOR_ANSWERS = 10.0  # a reading of so few answers counts half, the average the other half
 # Answers per task on average before the first step, when machine kinds tell more, and before later ones
 MIN_ANSWERS_PER_TASK = (3, 8)
@@ -45,9 +51,12 @@
 
 # Cold tasks, those that are still warming up
 COLD_CAPACITY_SHARE = 0.6  # of what a cold task can take: the rest is for bursts and weak machines
-# Of the fleet's work: cold tasks alone get all calls, and from here on that is no more than they can take.
+# Without a warm task, cold tasks get lines if their summed capacity is at least this share of the table's
+# calls. The capacity contains COLD_CAPACITY_SHARE, so that both sides are cut alike: all calls are then no
+# more than the cold tasks can take in full.
 COLD_ONLY_CAPACITY_SHARE = COLD_CAPACITY_SHARE
-# Below it cold tasks get no line: however light, it would get all calls that proxies keep from other tasks.
+# At this health or below cold tasks get no line: whatever its weight, it would get all calls that proxies
+# keep from the tasks that they avoid.
 MIN_HEALTH_FOR_COLD = 0.6
 # Report periods without a line: a task that has just started can take little, and reports would not
 # show an overload yet.
@@ -56,20 +65,26 @@
 # Tables
 MIN_WEIGHT_RATIO = 0.005  # of the average: a smaller weight is left out, as a line of weight 0 is no line
 MIN_WEIGHT_CHANGE_RATIO = 0.1  # a smaller change of a weight is not sent
-MAX_BIND_ALL_S = 4.0  # s of the channel that binding all joined proxies may take; else tables are smaller
+# Seconds that the channel may need to bind all joined proxies (times channel_lines: lines); else tables are
+# smaller.
+MAX_BIND_ALL_S = 4.0
 MIN_TABLE_LINES = 8  # of a smaller table: with fewer, a proxy whose table has a bad task calls little else
 # A table with fewer warm lines gets up to half of those of the best equipped table at once, others over time.
 MIN_WARM_LINES = 2
-# A proxy that takes longer to meet the failures in a row that make it avoid a task avoids few tasks.
+# A proxy that needs longer than this for failures_before_avoidance calls to one task is taken to avoid hardly
+# any task.
 SLOW_AVOIDANCE_S = 20
 
-# Pushes of changed lines, in tuples by urgency: drains and other rules, health, weights
+# Pushes of changed table lines, in tuples by urgency (see push_lines). 0: lines of tasks that are no longer
+# ready or have restarted, and the first lines of a table; 1: lines of ejected, cold and newly warm tasks;
+# 2: other changes of weights. A limit in seconds is the time that the channel needs for the queued lines:
+# times channel_lines it is a number of lines.
 PUSH_INTERVALS_TENTHS_MS = (0, 3_000, 10_000)  # separate, so that no urgency delays another
 PUSH_QUEUE_SHARES = (0.97, 0.5, 0.5)  # of the queue limit: most in use after such a push
 BIND_QUEUE_SHARES = (0.6, 0.8)  # likewise after a bind, and after one of a proxy that waited long
-PUSH_START_QUEUE_S = (math.inf, 1.5, 0.75)  # s of the channel: such a push starts while less is queued
-PUSH_MAX_QUEUE_S = 5.0  # s of the channel: most queued after a push of health or weights
-BIND_MAX_QUEUE_S = 1.5  # s of the channel: most queued after a bind
+PUSH_START_QUEUE_S = (math.inf, 1.5, 0.75)  # such a push starts only while no more is queued
+PUSH_MAX_QUEUE_S = 5.0  # most queued after a push of urgency 1 or 2
+BIND_MAX_QUEUE_S = 1.5  # most queued after a bind of a proxy that has not waited long
 MESSAGE_CAP_SHARES = (0.95, 0.6, 0.4)  # of the message cap: most in use after such a push
 BIND_DEADLINE_GRACE_SHARE = 0.9  # of the grace: binds that end by then need no withdrawals
 # Of the grace: a proxy that has waited for longer is late; withdrawals ordered before it joined are repeated.
@@ -78,7 +93,9 @@
 # Ejection of faulty tasks and their readmission
 EJECTION_EVIDENCE = 5.3  # ln 200: the odds at which a task is taken for faulty, one false alarm in 200 tests
 MAX_GOOD_EVIDENCE = 2.0  # most evidence that good answers may build up against new failures
-UNLISTED_EVIDENCE = 3.0  # for a list that drops a task without a drain: two failures then suffice
+# Least evidence against a task that the list has dropped without a drain: one failure then suffices while at
+# most 5% of calls fail as usual, two while at most 20% do (see update_evidence).
+UNLISTED_EVIDENCE = 3.0
 FAULTY_FAILURE_SHARE = 0.5  # of a faulty task's calls; more where many fail everywhere, as in an overload
 MAX_EJECTED_SHARE = 0.3  # of all shares, while the other tasks answer: they must be able to carry the load
 UNREACHABLE = "unreachable"  # the probe outcome where nothing listens
@@ -103,7 +120,7 @@
 )
 LATE_PRESSURE_RATIO = 1.3  # on the pressure while answers are late: the backlog has to be worked off too
 NO_RETRY_FAILURE_SHARE = 0.1  # that the median call meets: from here on nothing is tried again
-# By kind of level, the one that admits everything: calls a second at a proxy; for other kinds a share, 1
+# level_kind -> the level that admits everything, here calls a second at a proxy; for other kinds a share, 1
 OPEN_LEVELS = {"per_second": 1e6}
 MIN_ROUTE_LEVEL = 0.05  # enough calls to go on observing the route
 
@@ -122,15 +139,15 @@
         self.open_level = OPEN_LEVELS.get(parameters.level_kind, 1.0)
         self.registry = registry = TaskRegistry()
         self.tasks = registry.tasks
-        self.lines = registry.lines
+        self.lines = registry.lines  # task -> its last task-list entry, a TaskLine
         self.changed_at = registry.changed_at
         self.ready = registry.ready
         self.observed = registry.observed
         self.leaving = registry.leaving
         self.proxies = {}
-        # A list of ready tasks, and the same tasks in the order from which the assigners' parts are cut
+        # A list of ready tasks, and the same tasks in the order from which select_own_part cuts own_tasks
         self.task_order = (None, [])
-        self.channel_proxies = {}  # those behind the channel, which are all but external followers
+        self.channel_proxies = {}  # all but external load balancers, which the relay does not serve
         self.call_rate = 0.0  # of the channel's proxies
         self.unbound_proxies = {}  # those not known for certain to be bound
         self.tables = [self.new_table(1)]
@@ -140,36 +157,41 @@
         self.counted_until = {}  # (task, zone) -> the end of the time that its reports have covered
         self.timers = [(0, 0, Brain.subscribe, None)] * (parameters.list_mode == "ask")
         self.timer_serial = 0
-        # Lines in the channel, estimated from what is unacknowledged and, while no stream has broken, from
-        # the order of messages
+        # Channel costs in lines. queue: what still waits in the channel, estimated from what is not
+        # acknowledged and, while no stream has broken, from the order of messages. written_lines: all lines
+        # written so far
         self.queue = 0.0
         self.unacknowledged = 0.0
         self.written_lines = 0.0
-        # mark -> [lines written before the batch and those that its acknowledgements prove to have left,
-        # lines of its shortest message, lines written up to its end]
+        # mark -> [lines known to have left the channel once a proxy acknowledges the mark: those written
+        # before the batch, and one shortest message for each acknowledgement so far; lines of the batch's
+        # shortest message; lines written up to the batch's end]
         self.sent_batches = {}
-        self.shortest_message = 0.0  # of the present batch
+        self.shortest_message = 0.0  # of the present batch, in lines
         self.mark = 0
-        self.effective_at = {"weights": 0, "levels": 0}  # when the last push took effect; 0: not yet
+        # When the last push took effect; 0: new weights or levels were decided and are not in effect yet
+        self.effective_at = {"weights": 0, "levels": 0}
         self.awaited = {}  # "weights" or "levels" -> the acknowledgements that the last push waits for
-        # in_order_from: from when on the order of messages is reliable; rebalanced_at: the last move of tasks
-        # from one table to another
+        # queue_updated_at: when the queue's estimate was last reduced by time; in_order_from: from when on
+        # the order of messages is reliable; rebalanced_at: the last move of tasks from one table to another
         self.queue_updated_at = self.in_order_from = self.rebalanced_at = 0
-        self.next_tick_at = self.subscribe_failures = self.first_report_at = self.first_join_at = (
+        # report_delay: from the time that the last reports covered to their evaluation; queue_progress_at:
+        # the last acknowledgement, or the first message into an empty queue if that is later
+        self.next_tick_at = self.subscribe_failures = self.first_pending_report_at = self.first_join_at = (
             self.report_delay
-        ) = self.queue_moved_at = 0
+        ) = self.queue_progress_at = 0
         self.admitted_share = 1.0  # of the work of all routes
-        self.usual_in_flight = 1.0
+        self.usual_in_flight = 1.0  # calls at the median task while few fail, smoothed
         self.usual_failure_share = 0.0  # what the median call meets
-        self.route_levels = {}
+        self.route_levels = {}  # route -> level
         self.route_calls = {}  # since the levels were last updated
-        self.mean_size = 0.0  # of the first ready tasks, as listed
+        self.mean_size = 0.0  # listed size of the first ready tasks
         self.retries_stopped = False
         self.report_round = parameters.report_period  # the smoothed time between a task's reports
-        self.fleet_size = 1  # the most tasks that were ever ready
-        self.own_tasks = []  # this assigner's part of the ready tasks
+        self.max_ready_tasks = 1  # the most tasks that were ever ready
+        self.own_tasks = []  # the ready tasks that this assigner orders, all or a part of them
         self.own_ids = frozenset()
-        self.part_size = 0.0  # as a share of the ready tasks
+        self.own_part_share = 0.0  # of the ready tasks: what own_tasks covers if it is a part of them
 
     def handle(self, now, events):
         """Takes a batch of events and returns the orders that follow from it."""
@@ -179,7 +201,7 @@
         while self.timers and self.timers[0][0] <= now:
             _, _, action, subject = heapq.heappop(self.timers)
             action(self, now, subject, orders)
-        if self.pending_reports and now - self.first_report_at >= REPORT_COLLECTION_TENTHS_MS:
+        if self.pending_reports and now - self.first_pending_report_at >= REPORT_COLLECTION_TENTHS_MS:
             self.evaluate_reports(now)
         self.eject_and_readmit(now, self.observed())
         self.emit(now, orders)
@@ -195,8 +217,8 @@
         heapq.heappush(self.timers, (at, self.timer_serial, action, subject))
 
     def on_task_list_received(self, now, event):
-        """Applies a task list, where a full one implies that all other tasks are gone. Subscribes again if
-        the list was lost."""
+        """Applies a task list; a list other than one of changes implies that all other tasks are gone.
+        Subscribes again if the list was lost."""
         if event.update_type == "lost":
             # The backoff is randomised so that not all assigners subscribe at once.
             wait = (
@@ -206,48 +228,60 @@
             return self.schedule(
                 now + int(min(wait, self.parameters.resubscribe_deadline / 2)), Brain.subscribe
             )
+        # Any list but a stale one proves that the subscription works, so the backoff starts anew.
         self.subscribe_failures *= event.update_type == "stale"
-        named = frozenset(line.task for line in event.lines)
-        unnamed = [x for k, x in self.lines.items() if event.update_type != "changes" and k not in named]
-        gone = [dataclasses.replace(x, state="gone", started_at=0) for x in unnamed if x.state != "gone"]
+        listed_names = frozenset(line.task for line in event.lines)
+        unlisted = [
+            entry
+            for name, entry in self.lines.items()
+            if event.update_type != "changes" and name not in listed_names
+        ]
+        gone = [
+            dataclasses.replace(entry, state="gone", started_at=0)
+            for entry in unlisted
+            if entry.state != "gone"
+        ]
         self.mean_size = self.mean_size or statistics.fmean(
-            [x.size for x in event.lines if x.state == "ready"] or [0]
+            [entry.size for entry in event.lines if entry.state == "ready"] or [0]
         )
         shares = self.registry.shares()  # a new task starts at the mean share of its kind
-        for line in (*gone, *event.lines):
-            self.on_task_line(now, line, shares)
-
-    def on_task_line(self, now, line, shares):
-        """Applies a line of the list. A task dropped during a drain stays draining. If a dropped ready task
-        does not count as gone, the drop is only evidence against it."""
-        old_line = self.lines.get(line.task)
-        task = self.tasks.get(line.task)
-        state = old_line.state if old_line else "gone"
-        if line.state == "gone" and (
-            state == "draining" or state == "ready" and not self.parameters.dropped_counts_as_gone
+        for entry in (*gone, *event.lines):
+            self.on_task_line(now, entry, shares)
+
+    def on_task_line(self, now, entry, shares):
+        """Applies an entry of the task list.
+
+        An entry "gone", listed or implied by a full list, is ignored for a draining task, which stays
+        draining. Where dropped_counts_as_gone is off, it is only evidence against a ready task.
+        """
+        old_entry = self.lines.get(entry.task)
+        task = self.tasks.get(entry.task)
+        old_state = old_entry.state if old_entry else "gone"
+        if entry.state == "gone" and (
+            old_state == "draining" or old_state == "ready" and not self.parameters.dropped_counts_as_gone
         ):
-            if state == "ready":
+            if old_state == "ready":
                 task.fault_evidence = max(task.fault_evidence, UNLISTED_EVIDENCE)
-                self.registry.mark_unlisted(now, line.task)
+                self.registry.mark_unlisted(now, entry.task)
             return
-        if line.state == "ready":
-            if state == "ready" and line.started_at <= old_line.started_at:
+        if entry.state == "ready":
+            if old_state == "ready" and entry.started_at <= old_entry.started_at:
                 task.unlisted = False
             else:
-                share = statistics.fmean(shares.get(line.kind) or [line.size / self.mean_size])
-                self.registry.register(Task(line, share, self.parameters.warm_after))
-                for table in self.tables:  # a restarted task's old line goes as urgently as in a drain
-                    table.weights |= {line.task: math.inf} if line.task in table.weights else {}
-        self.registry.update_line(now, line)
+                share = statistics.fmean(shares.get(entry.kind) or [entry.size / self.mean_size])
+                self.registry.register(Task(entry, share, self.parameters.warm_after))
+                for table in self.tables:  # the old line of a restarted task goes as urgently as in a drain
+                    table.weights |= {entry.task: math.inf} if entry.task in table.weights else {}
+        self.registry.update_line(now, entry)
 
     def remove_departed(self, now, orders):
-        """Forgets tasks that left so long ago that no proxy can hold their lines any more."""
+        """Forgets tasks that left so long ago that no proxy can hold their table lines any more."""
         for name in list(self.leaving):
             gone = self.lines[name].state != "ready" or self.tasks[name].unlisted and self.tasks[name].ejected
             if (
                 gone
                 and now - self.changed_at[name] >= DEPARTED_LINE_TENTHS_MS
-                and not any(name in t.weights for t in self.tables)
+                and not any(name in table.weights for table in self.tables)
             ):
                 orders += [gp.WithdrawTask(name, False)] * (self.withdrawn.pop(name, None) is not None)
                 self.registry.remove(name)
@@ -258,7 +292,7 @@
     def on_proxy_joined(self, now, event):
         """Adds a proxy, still unbound; one that is joined already is replaced."""
         if not (self.proxies if event.external else self.channel_proxies):
-            # The first to join. Whatever tables the proxies hold by chance count as even ones, in effect now.
+            # The first to join. Whatever tables the proxies hold count as even ones, in effect now.
             self.first_join_at = now
             self.counted_until = {}
             self.pending_reports = []
@@ -303,12 +337,14 @@
         if event.proxy in self.channel_proxies:
             self.acknowledge(now, self.channel_proxies[event.proxy], event.mark)
             if event.mark in self.sent_batches:
-                # Messages leave in order: all that was written before this one has left the channel.
-                batch = self.sent_batches[event.mark]
+                # Messages leave in order: all that was written before this one has left the channel, and with
+                # each acknowledgement at least one more of the batch's shortest messages.
+                batch = self.sent_batches[event.mark]  # lines that have left, of the shortest message, end
                 batch[0] += batch[1]
                 if now >= self.in_order_from:
                     self.queue = max(0.0, min(self.queue, self.written_lines - batch[0]))
             while self.sent_batches and (
+                # [2]: lines written up to the end of the oldest batch
                 next(iter(self.sent_batches.values()))[2] <= self.written_lines - self.queue
             ):
                 del self.sent_batches[next(iter(self.sent_batches))]  # it has left the channel as a whole
@@ -318,7 +354,7 @@
         """Removes what a proxy has confirmed, its messages up to a mark, from the unacknowledged lines, which
         are the upper bound of the queue."""
         self.unacknowledged = max(0.0, self.unacknowledged - proxy.acknowledge(mark))
-        self.queue_moved_at = now
+        self.queue_progress_at = now
         self.queue = min(self.queue, self.unacknowledged)
 
     def on_orders_lost(self, now, event):
@@ -326,15 +362,15 @@
         tables = {table.number: table for table in self.tables}
         for order in event.orders:
             match order:
-                case gp.SetWeight(table=number, task=k) if number in tables:
-                    tables[number].weights[k] = 0.0
-                case gp.WithdrawTask(task=k) if k in self.lines:
-                    self.withdrawn[k] = False
-                case gp.BindProxy(proxy=p, table=number) if p in self.proxies:
+                case gp.SetWeight(table=number, task=task) if number in tables:
+                    tables[number].weights[task] = 0.0
+                case gp.WithdrawTask(task=task) if task in self.lines:
+                    self.withdrawn[task] = False
+                case gp.BindProxy(proxy=proxy, table=number) if proxy in self.proxies:
                     bound = None if event.possibly_executed and number in tables else False
-                    self.bind(self.proxies[p], bound, tables.get(number))
+                    self.bind(self.proxies[proxy], bound, tables.get(number))
                 case gp.SetAdmission(table=number) if number in tables:
-                    tables[number].levels = {}
+                    tables[number].admissions = {}
                 case gp.RequestAcknowledgement(mark=mark) if not event.possibly_executed:
                     self.sent_batches.pop(mark, None)
                     unsent = sum(p.unacknowledged.pop(mark, 0.0) for p in self.channel_proxies.values())
@@ -361,10 +397,11 @@
         )
 
     def confirm_pushes(self, now, proxy, mark):
-        """Records an acknowledgement. A push takes effect once all but a tenth of the calls follow it."""
+        """Records an acknowledgement. A push takes effect once all its changes were ordered and the proxies
+        that have not acknowledged them receive at most a tenth of the call rate."""
         for kind, acknowledgements in list(self.awaited.items()):
             acknowledgements.acknowledge(proxy, mark)
-            if acknowledgements.complete and acknowledgements.pending_calls <= 0.1 * self.call_rate:
+            if acknowledgements.complete and acknowledgements.pending_call_rate <= 0.1 * self.call_rate:
                 self.effective_at[kind] = now
                 _ = self.awaited.pop(kind)
 
@@ -374,30 +411,34 @@
             event.task in self.tasks
             and event.span <= now - self.first_join_at + self.parameters.report_period
         ):
-            self.first_report_at = self.first_report_at if self.pending_reports else now
+            self.first_pending_report_at = self.first_pending_report_at if self.pending_reports else now
             self.pending_reports.append(event)
 
-    def end_of_reports(self, now):
-        """The time up to which the pending reports have counted. The spans of a (task, zone) pair add up; the
-        median of all pairs excludes those with idle periods or lost reports."""
-        base = self.counted_until or {(e.task, e.zone): self.first_join_at for e in self.pending_reports}
-        ends = [base[e.task, e.zone] + e.span for e in self.pending_reports if (e.task, e.zone) in base]
+    def record_covered_time(self, now):
+        """Returns the time up to which the pending reports have counted; records it as the start of the next
+        ones, and its delay.
+
+        The spans of a (task, zone) pair add up; the median of all pairs excludes those with idle periods or
+        lost reports. Without a pair that was counted before, the reports are taken to be as late as the last.
+        """
+        starts = self.counted_until or {(e.task, e.zone): self.first_join_at for e in self.pending_reports}
+        ends = [starts[e.task, e.zone] + e.span for e in self.pending_reports if (e.task, e.zone) in starts]
         until = min(int(statistics.median(ends)) if ends else now - self.report_delay, now)
-        kept = {pair: at for pair, at in self.counted_until.items() if pair[0] in self.tasks}
+        known_pairs = {pair: at for pair, at in self.counted_until.items() if pair[0] in self.tasks}
         self.report_delay = now - until
-        self.counted_until = kept | {(e.task, e.zone): until for e in self.pending_reports}
+        self.counted_until = known_pairs | {(e.task, e.zone): until for e in self.pending_reports}
         return until
 
     def evaluate_reports(self, now):
         """Evaluates the pending reports. Adjusts the shares once enough calls were reported for time wholly
         after the last push of weights took effect."""
-        until = self.end_of_reports(now)
+        until = self.record_covered_time(now)
         spans = statistics.median([event.span for event in self.pending_reports])
         self.report_round += SMOOTHING_FACTOR * (
             max(spans, self.parameters.report_period) - self.report_round
         )
-        sums_by_task = {}
-        level_sums = [0, 0, 0.0]  # measured mostly at the present levels
+        sums_by_task = {}  # task -> tries, failures, summed latency of the successful tries
+        level_sums = [0, 0, 0.0]  # the same of all tasks, measured mostly at the present levels
         for event in self.pending_reports:
             task = self.tasks.get(event.task)
             good = event.tries - event.failures
@@ -408,7 +449,7 @@
                 or (good < 0 or good and not 0 < event.latency < math.inf)
             ):
                 continue  # no calls, impossible values, or from before the task's restart
-            # Without good answers the reported latency has no meaning.
+            # event.latency is a mean. Without good answers it has no meaning.
             sums = event.tries, event.failures, good and good * event.latency
             sums_by_task[event.task] = [
                 a + b for a, b in zip(sums_by_task.get(event.task, (0, 0, 0.0)), sums, strict=True)
@@ -426,6 +467,7 @@
         self.usual_failure_share = self.median_failure_share(now)
         for task, tries, failures, _ in judged:
             self.update_evidence(task, failures, tries - failures, self.usual_failure_share)
+        # Moves towards the median calls in flight, at least 1, but not while many calls fail.
         if self.usual_failure_share < NO_RETRY_FAILURE_SHARE:
             self.usual_in_flight *= 1 + SMOOTHING_FACTOR * (
                 max(self.backlog() * BACKLOG_RATIO, 1 / self.usual_in_flight) - 1
@@ -434,16 +476,17 @@
             self.update_levels(*level_sums)
         tasks = [t for t in self.own_tasks if not t.ejected]
         self.pending_reports = []
+        # A headroom shows that the first adjustment has been made.
         if tasks and sum(t.tries for t in tasks) >= (
             MIN_ANSWERS_PER_TASK[any(t.headroom for t in tasks)] * len(tasks)
         ):
             self.update_shares(tasks)
 
-    def update_statistics(self, now, name, tries, failures, latency):
-        """Updates a task's statistics; returns whether its failures count as evidence of a fault.
+    def update_statistics(self, now, name, tries, failures, latency_sum):
+        """Updates a task's statistics; returns whether its answers count as evidence for or against a fault.
 
         Those of a slow task do not: slow answers mean overload, which a smaller share relieves. Ejecting the
-        task would overload others. The same goes for its probes.
+        task would overload others. The same goes for its probes, except those that it answers with an error.
         """
         task = self.tasks[name]
         good = tries - failures
@@ -452,7 +495,7 @@
         task.mean_tries = task.mean_tries + SMOOTHING_FACTOR * (tries - task.mean_tries)
         task.failure_share += tries / (tries + PRIOR_ANSWERS) * (failures / tries - task.failure_share)
         if good:
-            task.mean_latency = (task.mean_latency or latency / good) / 2 + latency / good / 2
+            task.mean_latency = (task.mean_latency or latency_sum / good) / 2 + latency_sum / good / 2
             task.succeeded_at = now
         task.slow = now - task.succeeded_at < REPORT_VALID_ROUNDS * self.report_round and (
             task.mean_latency > 2 * self.median_latency(task.kind)
@@ -475,18 +518,18 @@
         cumulative_calls = list(itertools.accumulate(calls for _, calls in recent))
         return next(
             (
-                failing
-                for (failing, _), c in zip(recent, cumulative_calls, strict=True)
-                if 2 * c >= cumulative_calls[-1]
+                failure_share
+                for (failure_share, _), calls in zip(recent, cumulative_calls, strict=True)
+                if 2 * calls >= cumulative_calls[-1]
             ),
             0.0,
         )
 
     def on_probe_finished(self, now, event):
-        """Counts a probe as evidence, as long as the task is neither ejected nor merely slow."""
+        """Counts a probe as evidence unless the task is ejected; of a slow task only the outcome "error"."""
         task = self.tasks.get(event.task)
         if task is None or event.outcome in ("full", "other") or now - event.elapsed < task.ramp_from:
-            return  # these outcomes say nothing about its calls, or the probe started before its restart
+            return  # these outcomes say nothing about the task, or the probe started before its restart
         self.registry.observe(task)
         ok = event.outcome == "ok"
         task.in_flight = max(0.0, event.load.get("in_hand", task.in_flight))
@@ -498,12 +541,17 @@
             )
         task.last_probe = event.outcome
 
-    def update_evidence(self, task, failures, good, usual):
-        """Wald's sequential test: does the task fail as a faulty one does, or as is usual at present?"""
-        usual = min(max(usual, 0.02), 0.8)
-        faulty = max(FAULTY_FAILURE_SHARE, 0.4 * usual + 0.6 * (usual > 0.1))
-        task.fault_evidence += failures * math.log(faulty / usual) + good * math.log(
-            (1 - faulty) / (1 - usual)
+    def update_evidence(self, task, failures, good, usual_share):
+        """Wald's sequential test: does the task fail as a faulty one does, or as is usual at present?
+
+        Each failure or good answer adds the logarithm of the ratio of its probabilities in the two cases.
+        usual_share: the share of calls that fail as usual, bounded so that no probability is near 0 or 1.
+        """
+        usual_share = min(max(usual_share, 0.02), 0.8)
+        # Where more than 10% fail everywhere, a faulty task is one that answers 60% of what others answer.
+        faulty_share = max(FAULTY_FAILURE_SHARE, 0.4 * usual_share + 0.6 * (usual_share > 0.1))
+        task.fault_evidence += failures * math.log(faulty_share / usual_share) + good * math.log(
+            (1 - faulty_share) / (1 - usual_share)
         )
         task.fault_evidence = min(max(task.fault_evidence, -MAX_GOOD_EVIDENCE), 2 * EJECTION_EVIDENCE)
 
@@ -524,7 +572,7 @@
     }
 
     def probe(self, now, task, orders):
-        """Probes a task and schedules its next probe, while it belongs to this assigner's part."""
+        """Probes a task and schedules its next probe, while it is one of own_tasks."""
         task.probe_scheduled = self.tasks.get(task.id) is task and task.id in self.own_ids
         if task.probe_scheduled:
             orders.append(gp.SendProbe(task.id, self.probe_timeout))
@@ -536,10 +584,11 @@
             )
 
     def update_shares(self, tasks):
-        """Multiplies each share by its task's smoothed headroom within bounds, then normalises the shares."""
+        """Multiplies each share by its task's smoothed headroom, relative to the average and within bounds,
+        then normalises the shares."""
         self.effective_at["weights"] = 0
         self.awaited.pop("weights", None)
-        usual = sum(task.total_latency(FAILURE_LATENCY_TENTHS_MS) for task in tasks) / sum(
+        mean_latency = sum(task.total_latency(FAILURE_LATENCY_TENTHS_MS) for task in tasks) / sum(
             task.tries for task in tasks
         )
         # Tasks listed as one kind are alike: a reading of few calls is pulled towards its kind's average.
@@ -549,31 +598,36 @@
         }
         # Before the first step, while proxies still follow tables ordered before this start, the calls that a
         # task gets show its share there.
-        for same in (
+        for same_kind in (
             kinds.values()
-            if any(not (p.bound or p.has_only_default_table) for p in self.channel_proxies.values())
+            if any(
+                not (proxy.bound or proxy.has_only_default_table) for proxy in self.channel_proxies.values()
+            )
             else ()
         ):
-            mean = statistics.fmean(task.tries for task in same)
-            for task in same if not any(task.headroom for task in tasks) else ():
-                task.share = max(mean * (task.tries + PRIOR_ANSWERS) / (mean + PRIOR_ANSWERS), 1.0)
+            mean_tries = statistics.fmean(task.tries for task in same_kind)
+            for task in same_kind if not any(task.headroom for task in tasks) else ():
+                task.share = max(
+                    mean_tries * (task.tries + PRIOR_ANSWERS) / (mean_tries + PRIOR_ANSWERS), 1.0
+                )
         kind_latency = {
             kind: (
-                sum(task.total_latency(FAILURE_LATENCY_TENTHS_MS) for task in same) + PRIOR_ANSWERS * usual
+                sum(task.total_latency(FAILURE_LATENCY_TENTHS_MS) for task in same_kind)
+                + PRIOR_ANSWERS * mean_latency
             )
-            / (sum(task.tries for task in same) + PRIOR_ANSWERS)
-            for kind, same in kinds.items()
+            / (sum(task.tries for task in same_kind) + PRIOR_ANSWERS)
+            for kind, same_kind in kinds.items()
         }
         for task in tasks:
-            latest = (
+            latest_headroom = (
                 (task.tries + PRIOR_ANSWERS)
                 / (task.total_latency(FAILURE_LATENCY_TENTHS_MS) + PRIOR_ANSWERS * kind_latency[task.kind])
                 / task.share**SHARE_EXPONENT
             )
             task.headroom = (
-                SMOOTHING_FACTOR * latest + (1 - SMOOTHING_FACTOR) * task.headroom
+                SMOOTHING_FACTOR * latest_headroom + (1 - SMOOTHING_FACTOR) * task.headroom
                 if task.headroom
-                else latest
+                else latest_headroom
             )
             task.reset_counts()
         average = sum(task.share * task.headroom for task in tasks) / sum(task.share for task in tasks)
@@ -586,11 +640,11 @@
         for task in tasks:
             task.share = max(task.share * scale, MIN_SHARE_RATIO)
 
-    def update_levels(self, tries, failures, latency):
+    def update_levels(self, tries, failures, latency_sum):
         """Sets how much of each route is admitted where capacity is short, cutting the routes of the least
         importance for their work first. A call's work is estimated by its SLO time."""
         slo = statistics.fmean(r.slo_time for r in self.parameters.routes)
-        late = latency / max(tries - failures, 1) > LATE_SLO_RATIO * slo or (
+        late = latency_sum / max(tries - failures, 1) > LATE_SLO_RATIO * slo or (
             self.usual_failure_share > NO_RETRY_FAILURE_SHARE
         )
         pressure = self.busy_share() / TARGET_BUSY_SHARE
@@ -603,16 +657,17 @@
             1.0,
         )
         work = {
-            k: max(self.route_calls.get(k, 1), 1) * r.slo_time for k, r in enumerate(self.parameters.routes)
+            number: max(self.route_calls.get(number, 1), 1) * route.slo_time
+            for number, route in enumerate(self.parameters.routes)
         }
-        cut = 1 - self.admitted_share
+        cut = 1 - self.admitted_share  # the share of all work that is still to be cut
         total_work = sum(work.values())
-        for k in sorted(
+        for number in sorted(
             work, key=lambda k: self.parameters.routes[k].importance / self.parameters.routes[k].slo_time
         ):
-            part = min(cut * total_work / work[k], 1 - MIN_ROUTE_LEVEL)
-            cut -= part * work[k] / total_work
-            self.route_levels[k] = round(1 - part, 2)
+            route_cut = min(cut * total_work / work[number], 1 - MIN_ROUTE_LEVEL)
+            cut -= route_cut * work[number] / total_work
+            self.route_levels[number] = round(1 - route_cut, 2)
         self.route_calls = {}
 
     def eject_and_readmit(self, now, observed):
@@ -660,8 +715,8 @@
                 self.log_messages.append(f"{task.id} is taken out: it fails calls that others answer")
 
     def health(self):
-        """1 while few tasks fail, down to 0 in an overload: where the median call meets a third of failures,
-        many tasks fail their probes, calls pile up or all cores are busy."""
+        """1 while few tasks fail, down to 0 in an overload: where the median call meets a failure share of a
+        third, many tasks fail their probes, calls pile up or all cores are busy."""
         overload = max(
             3 * (self.failing_probe_share() - SINGLE_FAULT_SHARE),
             self.backlog() - 1,
@@ -670,7 +725,7 @@
         return min(max(0.0, 1 - max(3 * self.usual_failure_share, overload)), 1.0)
 
     def backlog(self):
-        """The calls in flight at the median task; 1: BACKLOG_RATIO times as many as usual."""
+        """The calls in flight at the median task, as a ratio to BACKLOG_RATIO times the usual ones."""
         return (
             statistics.median([t.in_flight for t in self.own_tasks] or [0.0])
             / self.usual_in_flight
@@ -688,35 +743,42 @@
     def wanted_lines(self, now):
         """The lines that the tables should hold: table -> task -> weight, the average share being 1."""
         ready = self.ready()
-        self.fleet_size = max(self.fleet_size, len(ready))
-        self.own_tasks = self.select_part(now, ready)
+        self.max_ready_tasks = max(self.max_ready_tasks, len(ready))
+        self.own_tasks = self.select_own_part(now, ready)
         self.own_ids = frozenset(t.id for t in self.own_tasks)
-        for t in [t for t in self.own_tasks if self.parameters.probes_allowed and not t.probe_scheduled]:
-            t.probe_scheduled = True
-            self.schedule(now + int(self.uniform(0, PROBE_INTERVAL_TENTHS_MS)), Brain.probe, t)
+        for task in [t for t in self.own_tasks if self.parameters.probes_allowed and not t.probe_scheduled]:
+            task.probe_scheduled = True
+            self.schedule(now + int(self.uniform(0, PROBE_INTERVAL_TENTHS_MS)), Brain.probe, task)
         assigned = self.assign_to_tables(now, self.own_tasks)
         health = self.health()
-        # Falls in proportion to the failures only, for proxies that rarely avoid a task
+        # For proxies that rarely avoid a task: falls in proportion to the largest of the failures, failing
+        # probes and backlog, and not at all for busy cores
         proportional_health = 1 - max(
             self.usual_failure_share, self.failing_probe_share(), self.backlog() - 1
         )
-        # The calls of a task while the whole fleet is ready; even: those of a ready task now, in such units
+        # Calls a second at an average task while as many are ready as ever, from this assigner's proxies
+        # extrapolated to all; calls_per_ready_task: at one of the tasks that are ready now, in units of these
         task_calls = (
             max(self.call_rate, 0.1)
             * max(self.parameters.proxies / max(len(self.channel_proxies), 1), 1)
-            / self.fleet_size
+            / self.max_ready_tasks
         )
-        even = self.fleet_size / max(len(ready), 1)
+        calls_per_ready_task = self.max_ready_tasks / max(len(ready), 1)
         return {
-            t: self.table_lines(
-                now, tasks, max(t.call_rate / task_calls, even * len(tasks)), health, proportional_health
+            table: self.table_lines(
+                now,
+                tasks,
+                max(table.call_rate / task_calls, calls_per_ready_task * len(tasks)),
+                health,
+                proportional_health,
             )
-            for t, tasks in assigned.items()
+            for table, tasks in assigned.items()
         }
 
     def assign_to_tables(self, now, own_tasks):
         """The tasks of each table: of one, or of as many smaller ones as are needed to bind all proxies in
-        time. A table with few healthy tasks for its calls gets some from the table that has the most."""
+        time. A table with few warm and not ejected tasks for its calls gets some from the table that has the
+        most."""
         parameters = self.parameters
         proxies = max(len(self.channel_proxies), self.parameters.proxies / self.parameters.assigners)
         max_lines = (
@@ -727,14 +789,17 @@
         )
         while len(self.tables) < math.ceil(len(own_tasks) / max(max_lines, MIN_TABLE_LINES)):
             self.tables.append(self.new_table(self.tables[-1].number % 60_000 + 1))
-        assigned = {t: [] for t in self.tables}
+        assigned = {table: [] for table in self.tables}
         for task in sorted(own_tasks, key=lambda task: task.table not in assigned):  # the new ones last
             if task.table not in assigned:
-                task.table = min(assigned, key=lambda t: len(assigned[t]))
+                task.table = min(assigned, key=lambda table: len(assigned[table]))
             assigned[task.table].append(task)
-        healthy = {t: [x for x in tasks if x.warm(now) and not x.ejected] for t, tasks in assigned.items()}
-        expected = self.call_rate / len(self.tables) / 4 + 0.1  # calls that any table may still get
-        strength = {t: len(healthy[t]) / (t.call_rate + expected) for t in healthy}
+        healthy = {
+            table: [task for task in tasks if task.warm(now) and not task.ejected]
+            for table, tasks in assigned.items()
+        }
+        expected = self.call_rate / len(self.tables) / 4 + 0.1  # calls a second that any table may still get
+        strength = {table: len(healthy[table]) / (table.call_rate + expected) for table in healthy}
         for weak in self.tables if len(self.tables) > 1 else ():
             strong = max(strength, key=strength.get)
             few = len(healthy[weak]) < MIN_WARM_LINES
@@ -752,14 +817,17 @@
                     for tasks in assigned, healthy:
                         tasks[strong].remove(task)
                         tasks[weak].append(task)
-                strength |= {t: len(healthy[t]) / (t.call_rate + expected) for t in (weak, strong)}
+                strength |= {
+                    table: len(healthy[table]) / (table.call_rate + expected) for table in (weak, strong)
+                }
         return assigned
 
-    def table_lines(self, now, assigned, load, health, proportional_health):
-        """A table's lines: task -> weight. load: the table's calls in units of an average task's calls.
+    def table_lines(self, now, assigned, table_calls, cold_factor, proportional_health):
+        """A table's lines: task -> weight.
 
         A cold task gets as much of an even share as it can take. While many tasks fail it gets none, as all
-        calls that proxies keep from the others would go to it.
+        calls that proxies keep from the others would go to it. table_calls: the table's calls in units of an
+        average task's; cold_factor: the health, from which the factor on cold tasks' weights follows.
         """
         tasks = [t for t in assigned if not t.ejected]
         if not any(t.warm(now) for t in tasks):  # a failing task is better than none: keep the least suspect
@@ -771,31 +839,51 @@
             for t in tasks
             if t.warm(now)
         }
-        health = max(
-            health**2 * (health > MIN_HEALTH_FOR_COLD) if warm else 1.0,
+        # Squared, so that the calls of cold tasks fall faster than the health.
+        cold_factor = max(
+            cold_factor**2 * (cold_factor > MIN_HEALTH_FOR_COLD) if warm else 1.0,
             proportional_health if self.rarely_avoided(warm) else 0.0,
         )
         capacity = {t: self.cold_capacity(now, t) for t in tasks if not t.warm(now)}
         enough = warm or (
-            sum(t.share * part for t, part in capacity.items()) >= COLD_ONLY_CAPACITY_SHARE * load
+            sum(t.share * capacity_ratio for t, capacity_ratio in capacity.items())
+            >= COLD_ONLY_CAPACITY_SHARE * table_calls
         )
-        cold = {t.id: health * t.share * min(part, 1.0) / load for t, part in capacity.items() if enough}
-        cold_part = sum(cold.values())
-        total = sum(warm.values()) / (1 - min(cold_part, 0.9)) if warm else load
-        return warm | {k: part * total for k, part in cold.items() if part * total >= MIN_WEIGHT_RATIO}
+        # task -> its share of the table's calls
+        cold = {
+            t.id: cold_factor * t.share * min(capacity_ratio, 1.0) / table_calls
+            for t, capacity_ratio in capacity.items()
+            if enough
+        }
+        cold_share = sum(cold.values())
+        total_weight = sum(warm.values()) / (1 - min(cold_share, 0.9)) if warm else table_calls
+        return warm | {
+            name: call_share * total_weight
+            for name, call_share in cold.items()
+            if call_share * total_weight >= MIN_WEIGHT_RATIO
+        }
 
-    def select_part(self, now, ready):
-        """The ready tasks that this assigner orders: all, or a part where all take the channel too long.
+    def select_own_part(self, now, ready):
+        """The ready tasks that this assigner orders: all of them, or only a part if binding its proxies to
+        tables with all of them would exceed the queue limit or take the channel longer than MAX_BIND_ALL_S.
 
         The part is as large as the share of the proxies that are joined, and with several tables it never
         shrinks. Assigners cut it from the same circular order, each from its own place.
         """
         parameters = self.parameters
-        even = 1 / self.parameters.assigners
-        size = len(self.channel_proxies) / self.parameters.proxies
-        self.part_size = size = max(size, even, self.part_size * (len(self.tables) > 1))
-        whole = parameters.proxies * even * (self.fleet_size + parameters.message_overhead_lines)
-        if whole <= min(parameters.queue_limit, MAX_BIND_ALL_S * parameters.channel_lines) or size >= 1:
+        even_share = 1 / self.parameters.assigners
+        own_share = len(self.channel_proxies) / self.parameters.proxies
+        self.own_part_share = own_share = max(
+            own_share, even_share, self.own_part_share * (len(self.tables) > 1)
+        )
+        # Lines that it costs to bind an even share of all proxies to tables of all tasks
+        bind_all_lines = (
+            parameters.proxies * even_share * (self.max_ready_tasks + parameters.message_overhead_lines)
+        )
+        if (
+            bind_all_lines <= min(parameters.queue_limit, MAX_BIND_ALL_S * parameters.channel_lines)
+            or own_share >= 1
+        ):
             return ready
         if self.task_order[0] is not ready:
             by_id = sorted(ready, key=lambda t: t.id)
@@ -808,12 +896,13 @@
                     key=lambda t: own_zone_first and t.zone != parameters.zone,
                 ),
             )
-        part = self.task_order[1][: math.ceil(len(ready) * size)]
-        return part if any(t.warm(now) and not t.ejected for t in part) else ready
+        own_part = self.task_order[1][: math.ceil(len(ready) * own_share)]
+        return own_part if any(t.warm(now) and not t.ejected for t in own_part) else ready
 
     def rarely_avoided(self, lines):
-        """Whether a proxy calls each task too seldom to avoid any, which would crowd the others."""
-        # The calls of a proxy to each task, with the further tries of those that fail
+        """Whether proxies are taken to avoid hardly any task, and thus not to crowd the others: a proxy needs
+        longer than SLOW_AVOIDANCE_S for failures_before_avoidance calls to one task, or never avoids one."""
+        # A proxy's calls a second to each task, with the further tries of those that fail
         calls = (
             self.call_rate
             / max(len(self.channel_proxies), 1)
@@ -826,7 +915,7 @@
         )
 
     def cold_capacity(self, now, task):
-        """The part of an even share that a cold task may get by its age."""
+        """The ratio of an even share that a cold task may get by its age."""
         age = now - task.ramp_from
         start = self.parameters.start_share
         fall = self.parameters.fall_multiple
@@ -836,9 +925,12 @@
     def emit(self, now, orders):
         """The one place where the wanted and the present state are compared and the difference is ordered:
         lines and levels of the tables, then binds, then withdrawals for proxies that wait for their bind."""
-        # Without acknowledgements the channel is taken to work off its queue at half its rate.
+        # After CHANNEL_SILENCE_TENTHS_MS without an acknowledgement, the channel is taken to work off its
+        # queue at half its rate. silent_s: seconds since the last estimate, 0 while acknowledgements arrive
         silent_s = (
-            (now - self.queue_updated_at) * (now - self.queue_moved_at > CHANNEL_SILENCE_TENTHS_MS) / SECOND
+            (now - self.queue_updated_at)
+            * (now - self.queue_progress_at > CHANNEL_SILENCE_TENTHS_MS)
+            / SECOND
         )
         self.queue = max(0.0, self.queue - silent_s * self.parameters.channel_lines / 2)
         self.queue_updated_at = now
@@ -865,81 +957,91 @@
             NO_RETRY_FAILURE_SHARE / 2 if self.retries_stopped else NO_RETRY_FAILURE_SHARE
         )
         retry_mode = "none" if self.retries_stopped else "on proof"
-        levels = {
+        admissions = {
             k: (self.route_levels.get(k, self.open_level), retry_mode)
             for k in range(len(self.parameters.routes))
         }
         written_before = self.written_lines
         self.shortest_message = queue_limit
-        reached = []
-        complete = True
-        levels_moved = False
-        drains_wait = False
+        reached = []  # the channel's proxies that get a message in this batch
+        all_changes_sent = True  # no change of a table line had to wait
+        admission_changed = False  # admissions were ordered that may differ from those in effect
+        urgent_changes_wait = False  # a change of urgency 0, as for a drain, had to wait
         for table in sorted(self.tables, key=lambda t: t.pushed_at[2]):
             sent, changes = self.push_lines(now, table, wanted[table], joining, orders)
-            changed_routes = [k for k in levels if levels[k] != table.levels.get(k)]
+            changed_routes = [k for k in admissions if admissions[k] != table.admissions.get(k)]
             changed_routes = (
                 changed_routes
                 if sent or self.fitting_changes(now, [(1,)] * len(changed_routes), table)
                 else []
             )
-            notable = changed_routes and (
+            # False where everything is admitted and the order only restates one that may be lost, or is the
+            # first of a table while the proxies' default retry mode is unknown
+            changes_admission = changed_routes and (
                 self.admitted_share < 1
-                or table.levels
-                and (table.levels_ordered or self.parameters.default_retry_mode)
+                or table.admissions
+                and (table.admissions_ordered or self.parameters.default_retry_mode)
             )
-            for level in sorted({levels[k] for k in changed_routes}):
-                routes = tuple(k for k in changed_routes if levels[k] == level)
-                orders.append(gp.SetAdmission(table.number, routes, *level))
-                table.levels_ordered = True
-                if notable and not levels_moved:
-                    share = level[0] / self.open_level
+            for admission in sorted({admissions[k] for k in changed_routes}):
+                routes = tuple(k for k in changed_routes if admissions[k] == admission)
+                orders.append(gp.SetAdmission(table.number, routes, *admission))
+                table.admissions_ordered = True
+                if changes_admission and not admission_changed:
+                    share = admission[0] / self.open_level
                     self.log_messages.append(
                         f"routes {routes} are let in at {share:.0%}, tried again {retry_mode}"
                     )
-            table.levels = levels if changed_routes else table.levels
+            table.admissions = admissions if changed_routes else table.admissions
             if sent or changed_routes:
                 self.shortest_message = min(
                     self.shortest_message,
                     self.record_messages(now, sent + len(changed_routes), table.channel_proxies.values()),
                 )
                 reached += table.channel_proxies.values()
-            complete = complete and sent == len(changes)
-            levels_moved = levels_moved or bool(notable)
-            drains_wait = drains_wait or sent < len(changes) and changes[sent][0] == 0
+            all_changes_sent = all_changes_sent and sent == len(changes)
+            admission_changed = admission_changed or bool(changes_admission)
+            urgent_changes_wait = urgent_changes_wait or sent < len(changes) and changes[sent][0] == 0
         total_weight = {t: sum(lines.values()) for t, lines in wanted.items()}
-        # Binds never take a drain's room. Proxies with most calls go first; the others keep their tables.
+        # A late proxy's higher limit applies only while no urgent change waits, so that binds never take a
+        # drain's room. Proxies with most calls go first; the others keep their tables.
         while joining:
             proxy = joining[0]
             late = proxy.joined_at <= late_before
             table = max(self.tables, key=lambda t: total_weight[t] / (t.call_rate + proxy.call_rate))
-            lines = len(table.weights) + len(levels) * table.levels_ordered + 1
+            line_count = len(table.weights) + len(admissions) * table.admissions_ordered + 1
             if (
-                self.queue + lines + self.parameters.message_overhead_lines + 1
-                > bind_limits[late and not drains_wait]
+                self.queue + line_count + self.parameters.message_overhead_lines + 1
+                > bind_limits[late and not urgent_changes_wait]
             ):
                 break
             orders.append(gp.BindProxy(proxy.id, table.number))
             self.bind(proxy, True, table)
-            self.shortest_message = min(self.shortest_message, self.record_messages(now, lines, [proxy]))
+            self.shortest_message = min(self.shortest_message, self.record_messages(now, line_count, [proxy]))
             reached += [joining.pop(0)] * (not proxy.external)
         waiting = [proxy for proxy in joining + keeping if not proxy.external]
         ask_all = bool(waiting) and self.withdraw_departed(now, waiting, bool(keeping), orders)
         if self.written_lines > written_before:
             self.mark = (self.mark + 1) % 65_536
             orders.append(gp.RequestAcknowledgement(self.mark, ask_all))
+            # Lines that have left once the mark is acknowledged, of the shortest message, up to the end
             self.sent_batches[self.mark] = [written_before, self.shortest_message, self.written_lines]
-        if levels_moved:
+        if admission_changed:
             self.effective_at["levels"] = 0
             self.awaited["levels"] = PushAcknowledgements().expect(reached, self.mark, True)
         if not self.effective_at["weights"]:
-            self.awaited.setdefault("weights", PushAcknowledgements()).expect(reached, self.mark, complete)
-        self.confirm_pushes(now, None, self.mark)  # if no change was worth sending, the last push remains
+            self.awaited.setdefault("weights", PushAcknowledgements()).expect(
+                reached, self.mark, all_changes_sent
+            )
+        # If no change was worth sending, nothing is awaited: the last push remains, in effect from now on.
+        self.confirm_pushes(now, None, self.mark)
 
     def push_lines(self, now, table, lines, joining, orders):
         """Orders the lines of a table that differ, most urgent first, as far as pace and channel allow.
 
-        Returns how many changes were ordered, and all changes: (urgency, sort key, task, weight).
+        Returns how many changes were ordered, and all changes: (urgency, sort key, task, weight). Urgency 0:
+        removes a task that is no longer ready, replaces the line of a restarted task, or adds the first lines
+        of a table where none remains. 1: removes an ejected or cold task, adds a warm one, or reduces the
+        weight of a cold one. 2: other changes of weights, new cold tasks, and tasks that moved elsewhere.
         """
         weights = table.weights
         changes = []
@@ -956,13 +1058,15 @@
                 )
         for name, weight in lines.items():
             # Cold lines shrink early and grow last: while warm ones are missing, they get more calls.
-            old = weights.get(name, 0.0)
+            old_weight = weights.get(name, 0.0)
             warm = self.tasks[name].warm(now)
-            if not old and (warm or no_line_remains):
+            if not old_weight and (warm or no_line_remains):
                 changes.append((int(not no_line_remains), -weight, name, weight))
-            elif old == math.inf or abs(weight - old) > MIN_WEIGHT_CHANGE_RATIO * old:
-                urgency = (old < math.inf) * (1 if weight < old and not warm else 2)
-                changes.append((urgency, -abs(weight - old) * (warm or weight < old), name, weight))
+            elif old_weight == math.inf or abs(weight - old_weight) > MIN_WEIGHT_CHANGE_RATIO * old_weight:
+                urgency = (old_weight < math.inf) * (1 if weight < old_weight and not warm else 2)
+                changes.append(
+                    (urgency, -abs(weight - old_weight) * (warm or weight < old_weight), name, weight)
+                )
         changes.sort()
         sent = self.fitting_changes(now, changes, table)
         for urgency, _, name, weight in changes[:sent]:
@@ -978,10 +1082,12 @@
     def withdraw_departed(self, now, waiting, keeping, orders):
         """Withdraws tasks that left from the proxies that wait, if these would be bound too late.
 
-        keeping: some of them keep older tables on purpose. Returns whether all proxies must acknowledge.
+        keeping: some of them keep tables ordered before this start on purpose. Returns whether all proxies
+        must acknowledge.
         """
         overhead = self.parameters.message_overhead_lines + 1
-        binding_states = ("draining", "gone" if self.parameters.dropped_counts_as_gone else "draining")
+        # The states in which no proxy may call a task any more; the tuple may hold "draining" twice.
+        uncallable_states = ("draining", "gone" if self.parameters.dropped_counts_as_gone else "draining")
         bind_lines = (
             statistics.fmean(len(t.weights) for t in self.tables) + len(self.parameters.routes) + 1 + overhead
         )
@@ -999,12 +1105,15 @@
         withdrawn = self.withdrawn
         late_before = now - LATE_BIND_GRACE_SHARE * self.parameters.drain_grace_period
         to_withdraw = [
-            k
-            for k in sorted(self.leaving, key=self.changed_at.get)
-            if 0 < now - self.changed_at[k] < DEPARTED_LINE_TENTHS_MS
-            and self.lines[k].state in binding_states
-            and not any(k in t.weights for t in self.tables)
-            and (not withdrawn.get(k) or any(withdrawn[k] < p.joined_at <= late_before for p in waiting))
+            name
+            for name in sorted(self.leaving, key=self.changed_at.get)
+            if 0 < now - self.changed_at[name] < DEPARTED_LINE_TENTHS_MS
+            and self.lines[name].state in uncallable_states
+            and not any(name in table.weights for table in self.tables)
+            and (
+                not withdrawn.get(name)
+                or any(withdrawn[name] < proxy.joined_at <= late_before for proxy in waiting)
+            )
         ]
         # If there is not enough room for all, those that left first
         to_withdraw = (
@@ -1012,7 +1121,7 @@
         )
         if not to_withdraw or not keeping and len(to_withdraw) + overhead > bind_lines:
             return False  # where it costs more than the binds it would only delay them
-        orders += [gp.WithdrawTask(k, True) for k in to_withdraw]
+        orders += [gp.WithdrawTask(name, True) for name in to_withdraw]
         withdrawn |= dict.fromkeys(to_withdraw, max(now, 1))
         self.shortest_message = min(
             self.shortest_message, overhead, self.record_messages(now, len(to_withdraw), waiting)
@@ -1020,7 +1129,9 @@
         # A proxy that holds none of these lines gets no message and would acknowledge nothing: lines that
         # were never in the channel would count in the queue and delay the next withdrawals. So all proxies
         # are asked to acknowledge.
-        others = [p for k, p in self.channel_proxies.items() if k not in self.unbound_proxies]
+        others = [
+            proxy for number, proxy in self.channel_proxies.items() if number not in self.unbound_proxies
+        ]
         ask_all = (
             # Only if the queue and the message cap have room for that as well
             self.queue + overhead * len(others) <= PUSH_QUEUE_SHARES[0] * self.parameters.queue_limit
@@ -1030,7 +1141,12 @@
         return ask_all
 
     def fitting_changes(self, now, changes, table):
-        """How many of the sorted changes may be ordered now, by push interval, queue and message cap."""
+        """How many of the sorted changes may be ordered now, by push interval, queue and message cap.
+
+        A change is a tuple that begins with its urgency. It costs one line for each proxy that the table has
+        behind the channel, so a table without any may send all. If changes of some urgency are sent, less
+        urgent ones may join their message, even where the queue is too long to start a push for these alone.
+        """
         fit = 0
         overhead = self.parameters.message_overhead_lines + 1
         proxy_count = len(table.channel_proxies)
@@ -1044,10 +1160,12 @@
                 fit or self.queue <= PUSH_START_QUEUE_S[urgency] * self.parameters.channel_lines
             ):
                 max_queue = PUSH_MAX_QUEUE_S * self.parameters.channel_lines if urgency else limit
+                # Lines of each proxy's message
                 room = int(
                     (min(PUSH_QUEUE_SHARES[urgency] * limit, max_queue) - self.queue) / proxy_count - overhead
                 )
-                # A part of them only if it outweighs the overheads, which would otherwise fill the channel.
+                # If not all fit, as many as do; of urgency 0 and 1 only if these are no fewer lines than the
+                # overhead of the message, as the overheads would otherwise fill the channel.
                 fit = eligible if room >= eligible else max(fit, room * (room >= overhead or urgency == 2))
         return fit
 
@@ -1061,12 +1179,12 @@
         )
         return capped or now - table.pushed_at[urgency] < PUSH_INTERVALS_TENTHS_MS[urgency]
 
-    def record_messages(self, now, lines, proxies):
+    def record_messages(self, now, line_count, proxies):
         """Adds a message of so many lines for each proxy to the queue; returns its cost in lines."""
         cost = (
-            lines + self.parameters.message_overhead_lines + 1
+            line_count + self.parameters.message_overhead_lines + 1
         )  # 1: the line that asks for an acknowledgement
-        self.queue_moved_at = self.queue_moved_at if self.queue else now
+        self.queue_progress_at = self.queue_progress_at if self.queue else now
         proxies = [p for p in proxies if not p.external]
         total = len(proxies) * cost
         since = now - self.parameters.message_cap_period - SECOND
--- a/garnetpaddle/interface/events.py
+++ b/garnetpaddle/interface/events.py
@@ -1,6 +1,9 @@
 """Events: what an assigner receives. All times are whole tenths of a millisecond.
 
 `logged_as` and `logged_fields` are the names in the logs, which tools read (LogFormat).
+
+A `load` may hold these keys: in_hand: calls in flight; busy: share of the cores in use; queued: calls in the
+task's queue; service_ms: latency in ms. A task may leave out any of them.
 """
 
 from dataclasses import dataclass
@@ -11,15 +14,15 @@
 
 @dataclass(frozen=True, slots=True, repr=False)
 class TaskLine(LogFormat):
-    """One line of the task list."""
+    """One entry of the task list."""
 
     logged_as = "TaskLine"
     logged_fields = ("task", "zone", "cell", "state", "size", "started_at", "kind")
     task: str
     zone: str
-    cell: int
+    cell: int  # as listed, 0 if not; no decision uses it
     state: str  # "ready", "draining" or "gone"
-    size: float
+    size: float  # relative capacity as listed; a new task starts with a share in proportion to it
     started_at: int  # 0: long ago
     kind: str = ""  # the machine's kind as listed: tasks of one kind are alike, whatever its name
 
@@ -46,7 +49,7 @@
     logged_as = "ProbeAnswered"
     logged_fields = ("task", "elapsed", "outcome", "load")
     task: str
-    elapsed: int
+    elapsed: int  # from the probe's start to its outcome
     outcome: str  # "ok", "error", "full", "timeout", "unreachable", "reset" or "other"
     load: dict[str, float]
 
@@ -59,7 +62,7 @@
     call_rate: float  # calls a second that it usually receives
     has_only_default_table: bool  # it holds no table that was ordered
     zone: str
-    external: bool = False  # a follower outside the channel: its updates do not go through the channel
+    external: bool = False  # an external load balancer, served by a front end and not through the relay
 
 
 @dataclass(frozen=True, slots=True, repr=False)
@@ -93,7 +96,7 @@
     proxy: int
     route: int
     calls: int
-    unanswered: int
+    unanswered: int  # calls that failed; one that arrived in an earlier period may fail in this one
     span: int  # the time that the report covers
 
 
@@ -105,7 +108,7 @@
     logged_fields = ("proxy", "mark", "elapsed")
     proxy: int
     mark: int
-    elapsed: int
+    elapsed: int  # from the sending of the orders until they were applied, as the relay reports it
 
 
 @dataclass(frozen=True, slots=True, repr=False)
--- a/garnetpaddle/interface/orders.py
+++ b/garnetpaddle/interface/orders.py
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True, repr=False)
 class SetWeight(LogFormat):
-    """Sets one line of a table; weight 0 removes it."""
+    """Sets one line of a table, the weight of a task; weight 0 removes the line."""
 
     logged_as = "SetLine"
     logged_fields = ("table", "task", "weight")
--- a/garnetpaddle/interface/parameters.py
+++ b/garnetpaddle/interface/parameters.py
@@ -58,8 +58,8 @@
     fall_multiple: float  # of its capacity: the work above which a cold task fails
     dropped_counts_as_gone: bool  # whether a ready task that the list drops counts as gone
     report_period: int
-    channel_lines: float  # lines a second
-    queue_limit: float  # lines
+    channel_lines: float  # lines a second that the relay sends to the proxies
+    queue_limit: float  # lines that may wait in the relay for this channel
     message_overhead_lines: float  # cost of a message on top of its own lines
     message_cap: int  # messages to one proxy in message_cap_period; 0: no cap
     message_cap_period: int
--- a/garnetpaddle/state.py
+++ b/garnetpaddle/state.py
@@ -1,4 +1,4 @@
-"""The state that the Brain keeps of tasks, proxies, tables and pending acknowledgements. No decision."""
+"""The state that the Brain keeps of tasks, proxies, tables and pending acknowledgements. No decisions."""
 
 import collections
 
@@ -8,7 +8,9 @@
 class Task:
     """A listed task: its share of the calls, its health and its latest load.
 
-    `share` averages 1 over the tasks of an assigner; `headroom` is 0 until its answers have been evaluated.
+    `share` averages 1 over the tasks of an assigner. `headroom` is the smoothed ratio of a task's answer rate
+    to the calls that it gets, 1 / (mean latency x share ** SHARE_EXPONENT); 0 until the first adjustment of
+    its share.
     """
 
     def __init__(self, line, share, warm_after):
@@ -24,8 +26,8 @@
         self.probe_successes = 0
         self.reported_at = NEVER
         self.succeeded_at = NEVER
-        # Smoothed values: failure_share, mean_tries (per report), mean_latency. fault_evidence is the
-        # log-likelihood ratio of a faulty task to one that fails as is usual at present.
+        # Smoothed values: failure_share, mean_tries (per report), mean_latency (of a successful try).
+        # fault_evidence is the log-likelihood ratio of a faulty task to one that fails as is usual now.
         self.headroom = self.failure_share = self.mean_tries = self.fault_evidence = self.mean_latency = (
             self.busy_share
         ) = self.in_flight = 0.0
@@ -35,22 +37,23 @@
         self.reset_counts()
 
     def warm(self, now):
+        """Whether the task has its full capacity: it started at least `ramp_time` ago."""
         return now >= self.ramp_from + self.ramp_time
 
     def total_latency(self, failure_latency):
-        """The summed latency of all counted calls, each failure counting as `failure_latency`."""
-        return self.latency + self.failures * failure_latency
+        """The summed latency of all counted tries, each failure counting as `failure_latency`."""
+        return self.latency_sum + self.failures * failure_latency
 
     def reset_counts(self):
         self.tries = 0
         self.failures = 0
-        self.latency = 0.0
+        self.latency_sum = 0.0
 
-    def add_calls(self, tries, failures, latency):
-        """Adds calls to the counts for the next adjustment; latency: the sum over the successful ones."""
+    def add_calls(self, tries, failures, latency_sum):
+        """Adds tries to the counts for the next adjustment; latency_sum: over the successful ones."""
         self.tries = self.tries + tries
         self.failures = self.failures + failures
-        self.latency += latency
+        self.latency_sum += latency_sum
 
     def readmit(self, fault_evidence):
         """Ends the ejection and puts the task on probation, with this much evidence against it left."""
@@ -66,12 +69,14 @@
 
 
 class Proxy:
-    """A proxy, or with `external` a follower outside the channel.
+    """A proxy, or with `external` an external load balancer, served by a front end and not through the relay.
 
-    has_only_default_table: it holds no table that was ordered.
+    has_only_default_table: it holds no table that was ordered. bound: True where the proxy follows `table`;
+    None where its bind order may be lost, while it still counts among the table's proxies; False where it
+    follows no table of this assigner.
 
-    An external follower gets the same lines. It sends no reports, its messages and acknowledgements do not
-    count in the channel's queue, and no adjustment waits for its acknowledgement, so it may stall.
+    An external load balancer gets the same lines. It sends no reports, its messages and acknowledgements do
+    not count in the channel's queue, and no adjustment waits for its acknowledgement, so it may stall.
     """
 
     def __init__(self, now, joined, previous):
@@ -80,17 +85,18 @@
         self.call_rate = max(0.1, joined.call_rate)
         self.has_only_default_table = joined.has_only_default_table
         self.external = joined.external
-        self.bound = False  # None where that is in doubt
+        self.bound = False
         self.table = None
-        # The times of messages, and the lines of each unacknowledged mark. They are kept when a proxy joins
-        # again without having left: messages to it may still be in the channel.
+        # The times of messages, and mark -> channel cost in lines of the unacknowledged messages. They are
+        # kept when a proxy joins again without having left: messages to it may still be in the channel.
         self.message_times = previous.message_times if previous else collections.deque()
         self.unacknowledged = previous.unacknowledged if previous else {}
 
-    def record_message(self, now, since, mark, lines):
+    def record_message(self, now, since, mark, line_count):
+        """Records a message that costs `line_count` lines of the channel; forgets those up to `since`."""
         self.messages_since(since)
         self.message_times.append(now)
-        self.unacknowledged[mark] = self.unacknowledged.get(mark, 0.0) + lines
+        self.unacknowledged[mark] = self.unacknowledged.get(mark, 0.0) + line_count
 
     def messages_since(self, since):
         """The number of messages written after a time; earlier ones are forgotten."""
@@ -102,12 +108,13 @@
         return sum(self.unacknowledged.values())
 
     def acknowledge(self, mark):
-        """The lines that an acknowledgement confirms: all up to its mark, as messages arrive in order."""
+        """Removes the messages that an acknowledgement confirms, all up to its mark, as messages arrive in
+        order; returns their cost in lines."""
         confirmed = [sent for sent in self.unacknowledged if (mark - sent) % 65_536 < 32_768]
         return sum(self.unacknowledged.pop(sent) for sent in confirmed)
 
     def bind(self, bound, table):
-        """bound: True, to the table; None, perhaps, which counts as its user too; False, to no table."""
+        """Sets `bound` and the table that counts the proxy as its own: none where `bound` is False."""
         if self.table:
             self.table.channel_proxies.pop(self.id, None)
             self.table.call_rate -= 0.0 if self.external else self.call_rate
@@ -120,17 +127,19 @@
 
 
 class Table:
-    """A weight table and the proxies bound to it through the channel.
+    """A weight table and the proxies bound to it.
 
-    `weights` are those ordered last: 0 where the order may be lost, infinite for a line of a task that has
-    restarted since. `pushed_at` are the times of the last pushes by urgency.
+    A line is a task with its weight. `weights` are those ordered last: 0 where the order may be lost,
+    infinite for a line of a task that has restarted since. `admissions` holds route -> (level, retry mode),
+    empty where that order may be lost. `pushed_at` are the times of the last pushes by urgency.
+    `channel_proxies` and `call_rate` leave out external load balancers.
     """
 
-    def __init__(self, number, levels):
+    def __init__(self, number, admissions):
         self.number = number
         self.weights = {}
-        self.levels = levels
-        self.levels_ordered = False  # whether any was ever ordered
+        self.admissions = admissions
+        self.admissions_ordered = False  # whether any was ever ordered
         self.pushed_at = [NEVER] * 3
         self.channel_proxies = {}
         self.call_rate = 0.0
@@ -143,23 +152,28 @@
 
 
 class PushAcknowledgements:
-    """The acknowledgements that a push still waits for; `pending_calls` is the call rate of these proxies."""
+    """The acknowledgements that a push still waits for.
+
+    `pending_call_rate` is the summed call rate of the proxies that owe one. `complete`: all changes of the
+    push have been ordered, so that no further proxy is waited for.
+    """
 
     def __init__(self):
         self.pending = {}  # proxy -> mark, call rate
-        self.pending_calls = 0.0
+        self.pending_call_rate = 0.0
         self.complete = False
 
     def expect(self, proxies, mark, complete):
         """Adds proxies to wait for; once the push is complete, later messages are not waited for."""
         for proxy in proxies if not self.complete else ():
-            self.pending_calls += proxy.call_rate - self.pending.get(proxy.id, (0, 0.0))[1]
+            self.pending_call_rate += proxy.call_rate - self.pending.get(proxy.id, (0, 0.0))[1]
             self.pending[proxy.id] = mark, proxy.call_rate
         self.complete = self.complete or complete
         return self
 
     def acknowledge(self, proxy, mark):
+        """Stops waiting for a proxy that has applied its messages up to the mark that it is waited for."""
         expected, rate = self.pending.get(proxy, (None, 0.0))
         if expected is not None and (mark - expected) % 65_536 < 32_768:
             del self.pending[proxy]
-            self.pending_calls = self.pending_calls - rate if self.pending else 0.0
+            self.pending_call_rate = self.pending_call_rate - rate if self.pending else 0.0
--- a/garnetpaddle/task_registry.py
+++ b/garnetpaddle/task_registry.py
@@ -1,4 +1,4 @@
-"""The tasks that the task list has named, with indexes that follow its changes. No decision.
+"""The tasks that the task list has named, with indexes that follow its changes. No decisions.
 
 A fleet may list some ten thousand tasks of which one assigner steers a few dozen. The Brain reads these
 indexes with every batch of events: its cost depends on what has changed since the last one, not on the size
@@ -6,12 +6,15 @@
 
     ready       tasks listed as ready, in the order in which they were first named
     observed    ready tasks for which a report, a probe or the list has provided information
-    leaving     names of tasks that are not listed as ready, or that a list has dropped without a drain
+    leaving     names of tasks listed as draining or gone, and of ready tasks dropped without a drain
 """
 
 
 class TaskRegistry:
-    """Keeps, by task name, the `tasks`, their last `lines` and when each last changed (`changed_at`)."""
+    """Keeps, by task name, the `tasks`, their last task-list entries (`lines`) and `changed_at`.
+
+    `changed_at` is when the entry last changed; the Brain also sets it when a table's line is removed.
+    """
 
     def __init__(self):
         self.tasks = {}
@@ -34,7 +37,7 @@
         return self._observed
 
     def shares(self):
-        """Machine kind -> the shares of its ready tasks whose answers have been evaluated."""
+        """Machine kind -> the shares of those of its ready tasks whose share has been adjusted once."""
         shares = {}
         for task in self.ready():
             if task.headroom:
@@ -52,7 +55,7 @@
         self.tasks[task.id] = task
 
     def update_line(self, now, line):
-        """Stores a line of the task list; the task of a ready line must be registered before."""
+        """Stores an entry of the task list; the task of a ready entry must be registered before."""
         self.lines[line.task] = line
         self.changed_at[line.task] = now
         self.leaving.pop(line.task, None)
@@ -68,7 +71,7 @@
         self.observe(self.tasks[name])
 
     def remove(self, name):
-        """Removes a task and its line."""
+        """Removes a task and its entry."""
         del self.lines[name], self.changed_at[name]
         self.leaving.pop(name, None)
         self.tasks.pop(name, None)
