--- a/garnetpaddle/brain.py
+++ b/garnetpaddle/brain.py
@@ -69,7 +69,8 @@
 # smaller.
 MAX_BIND_ALL_S = 4.0
 MIN_TABLE_LINES = 8  # of a smaller table: with fewer, a proxy whose table has a bad task calls little else
-# A table with fewer warm lines gets up to half of those of the best equipped table at once, others over time.
+# A table with fewer warm lines gets up to half of those of the table that has most for its calls: at once if
+# no proxy is bound to it, else after a push interval, and other tables over time.
 MIN_WARM_LINES = 2
 # A proxy that needs longer than this for failures_before_avoidance calls to one task is taken to avoid hardly
 # any task.
@@ -756,8 +757,8 @@
         proportional_health = 1 - max(
             self.usual_failure_share, self.failing_probe_share(), self.backlog() - 1
         )
-        # Calls a second at an average task while as many are ready as ever, from this assigner's proxies
-        # extrapolated to all; calls_per_ready_task: at one of the tasks that are ready now, in units of these
+        # task_calls: calls a second at an average task while max_ready_tasks are ready, extrapolated from
+        # this assigner's proxies to all; calls_per_ready_task: at a task that is ready now, in such units
         task_calls = (
             max(self.call_rate, 0.1)
             * max(self.parameters.proxies / max(len(self.channel_proxies), 1), 1)
@@ -946,6 +947,8 @@
             self.unbound_proxies.values(),
             key=lambda proxy: (proxy.joined_at > late_before, -proxy.call_rate, proxy.id),
         )
+        # Tables ordered before this start are kept for a while, until the first adjustment of shares, which a
+        # headroom shows.
         inheriting = now - self.first_join_at < INHERITED_TABLES_TENTHS_MS and not any(
             t.headroom for t in self.own_tasks
         )
@@ -970,6 +973,7 @@
         for table in sorted(self.tables, key=lambda t: t.pushed_at[2]):
             sent, changes = self.push_lines(now, table, wanted[table], joining, orders)
             changed_routes = [k for k in admissions if admissions[k] != table.admissions.get(k)]
+            # They join the message of the lines; alone they count as changes of urgency 1.
             changed_routes = (
                 changed_routes
                 if sent or self.fitting_changes(now, [(1,)] * len(changed_routes), table)
--- a/garnetpaddle/net/order_codec.py
+++ b/garnetpaddle/net/order_codec.py
@@ -1,4 +1,8 @@
-"""Encoding of orders as the relay's form requests, parsing of its XML responses, translation of marks."""
+"""Encoding of orders as the relay's form requests, parsing of its XML responses, translation of marks.
+
+A fence is the wire form of gp.RequestAcknowledgement: `fence,MARK,ALL`, where ALL is 1 for all joined proxies
+and 0 for those that the orders of its own request reach.
+"""
 
 from dataclasses import dataclass
 from typing import NamedTuple
@@ -91,6 +95,7 @@
     requests = list(split_by_size(encoded, limit))
     if len(requests) > 1 and isinstance(fence_first[0], gp.RequestAcknowledgement):
         fence = encoded[0]
+        # The last character is the flag for all proxies.
         requests = list(
             split_by_size([*encoded[1:], EncodedOrder(fence.order, fence.text[:-1] + "1")], limit)
         )
@@ -122,6 +127,7 @@
     remaining = request[accepted + 1 :]
     if not remaining:
         return []
+    # The last character is the flag for all proxies.
     return [EncodedOrder(fence.order, fence.text[:-1] + "0") for fence in fences] + remaining
 
 
--- a/garnetpaddle/net/order_sender.py
+++ b/garnetpaddle/net/order_sender.py
@@ -68,7 +68,11 @@
                 requests = [remaining, *requests] if remaining else requests
 
     async def handle_failure(self, result, request, later_requests, partly_sent):
-        """Reports a failed request and everything queued behind it as lost, after a backoff."""
+        """Reports a failed request and everything queued behind it as lost, after a backoff.
+
+        Once a request of the batch was accepted, the rest of the batch is reported as in doubt, even requests
+        that were never sent. Queued batches were certainly not executed.
+        """
         in_doubt = isinstance(result, http.Unconfirmed) or partly_sent
         self.log_state(result)
         await asyncio.sleep(BACKOFF[min(self.failures, len(BACKOFF) - 1)])
@@ -79,7 +83,8 @@
             self.publish(gp.OrdersLost(tuple(self.queue.popleft()), False))
 
     def report_lost(self, encoded, in_doubt):
-        """Reports orders that no response confirmed. in_doubt: they may have been executed."""
+        """Reports orders that no response confirmed. in_doubt: they, or another part of their batch, may have
+        been executed."""
         if encoded:
             self.publish(gp.OrdersLost(tuple(encoded_order.order for encoded_order in encoded), in_doubt))
 
--- a/garnetpaddle/net/proxy_membership.py
+++ b/garnetpaddle/net/proxy_membership.py
@@ -7,13 +7,19 @@
     """What one event stream has reported since it opened."""
 
     def __init__(self, address=None):
-        self.address, self.complete, self.joined = address, False, {}  # complete: all proxies are listed
-        self.overlapping = False  # it opened while another stream was current
-        self.alive = True  # a byte has arrived since another stream opened, so no event was lost before that
+        # complete: the stream has listed all joined proxies; joined: proxy -> its latest ProxyJoined event
+        self.address, self.complete, self.joined = address, False, {}
+        # Whether it opened while another stream was current; once it has replaced that one, whether that one
+        # was alive until then, so that no event was missed.
+        self.overlapping = False
+        # Turns False when a successor opens, and True again with the next byte: the stream was then not cut
+        # off before the successor opened.
+        self.alive = True
         self.start_tracking()
 
     def start_tracking(self):
-        """Starts recording changes: proxies that rejoin or leave, and acknowledgements."""
+        """Starts recording proxies that rejoin or leave (`changed`) and acknowledgements (`applied`), which
+        are compared with those of another stream."""
         self.changed, self.applied = {}, {}
 
     def record(self, event, tracking):
@@ -40,6 +46,7 @@
     if a byte arrives on it after the new one has opened; otherwise it may have been cut off before that."""
 
     def __init__(self, publish):
+        # current: the stream whose events are published; successor: a later one that is to replace it
         self.publish, self.joined, self.current, self.successor = publish, {}, None, None
 
     def open(self, view):
@@ -66,6 +73,10 @@
         return False
 
     def receive(self, view, event):
+        """Records an event of a stream and publishes it if the stream is the current one, except a proxy of
+        the initial list that is joined already."""
+        # The first event about a proxy before the initial list is complete. It tells nothing new about a
+        # joined proxy where the stream overlaps the previous one.
         initial = view.overlapping and not view.complete and event.proxy not in view.joined
         view.alive = True
         view.record(event, self.successor is not None)
@@ -99,7 +110,10 @@
         return self.successor is not None and self.successor.complete and self.current.alive
 
     def switch(self):
-        """Makes the successor current; publishes what it has reported and the previous stream has not."""
+        """Makes the successor current; publishes what it has reported and the previous stream has not.
+
+        If the previous stream was not alive, events may have been missed: all proxies join again.
+        """
         previous, self.current, self.successor = self.current, self.successor, None
         view = self.current
         view.overlapping = previous.alive
--- a/garnetpaddle/net/serve.py
+++ b/garnetpaddle/net/serve.py
@@ -63,7 +63,8 @@
 
 
 def build_front_ends(operator_configuration, settings, parameters, addresses, decision_loop):
-    """The front ends of the operator's file. Imported here: an assigner without them must not load them."""
+    """The front ends of the operator's file, which serve external load balancers directly and not through the
+    relay. Imported here: an assigner without them must not load them."""
     from garnetpaddle.front_ends import FrontEnds
 
     front_ends = FrontEnds(
@@ -86,8 +87,11 @@
     """Builds, connects and runs the stages; returns only if the Brain fails, with the exit code."""
     loop = asyncio.get_running_loop()
     settings, seed = config.settings, configuration.parse_seed(config)
+    # settings.specifics.agents is the number of proxies.
     known_names = codec.KnownNames(
-        {c.name: k for k, c in enumerate(settings.categories)}, tuple(settings.azs), settings.specifics.agents
+        {route.name: number for number, route in enumerate(settings.categories)},
+        tuple(settings.azs),
+        settings.specifics.agents,
     )
     handlers, addresses, marks = OrderHandlers(None, None, None), TaskAddresses(), MarkTranslator(seed)
     parameters = boot.derive_parameters(settings)
--- a/garnetpaddle/net/task_list_codec.py
+++ b/garnetpaddle/net/task_list_codec.py
@@ -16,7 +16,7 @@
 
 
 class TaskEntry(msgspec.Struct, rename=WIRE_NAMES):
-    """One task of the list."""
+    """One entry of the task list."""
 
     task: str
     state: str
--- a/garnetpaddle/net/task_list_watch.py
+++ b/garnetpaddle/net/task_list_watch.py
@@ -16,9 +16,9 @@
 LONG_POLL_MS = 1_000  # long-poll time: a dead agent is noticed soon, and polls cost the agent nothing
 RESPONSE_TIMEOUT = 0.5  # s on top of the long-poll time
 CONNECT_TIMEOUT = 0.5  # s
-MAX_STALE_TIME = (
-    6.0  # s within which the protocol delivers a list; older lists for longer mean a new numbering
-)
+# s within which the protocol delivers the latest list; if only lists of older generations come for longer,
+# discovery has started a new numbering.
+MAX_STALE_TIME = 6.0
 BACKOFF = (0.0, 0.05, 0.1, 0.2, 0.4)  # s before a failed poll is retried, by consecutive failures
 log = structlog.get_logger()
 
@@ -82,7 +82,10 @@
 
 
 class Agent:
-    """An agent of discovery: its address, the connection, and the generation of its latest list."""
+    """An agent, that is one server of the discovery service: its address and the connection to it.
+
+    since: the generation of its latest list, from which the next poll asks for changes; None: for the full
+    list."""
 
     def __init__(self, address):
         self.address, self.since, self.connection = address, None, None
@@ -112,10 +115,12 @@
         return self.decode(result.body)
 
     def decode(self, body):
-        """Decodes a list; after an invalid one the next poll requests the full list."""
+        """Decodes a list; returns ListResponse or, if it is invalid, ListFailure. Records its generation for
+        the next poll, which requests the full list after an invalid one."""
         try:
             task_list = msgspec.json.decode(body, type=TaskList)
             lines = task_lines(task_list)
+        # Also caught: a start time out of range (OverflowError) and JSON nested too deeply (RecursionError).
         except (ValueError, OverflowError, RecursionError) as error:
             self.since = None
             return ListFailure(f"invalid list: {error!s:.80}")
