--- a/garnetpaddle/brain.py
+++ b/garnetpaddle/brain.py
@@ -384,7 +384,7 @@
         self.withdrawn = dict.fromkeys(self.withdrawn, False)
         for proxy in self.proxies.values():
             self.bind(proxy, False, None)
-        # Proxies behind the channel wait for a bind again once the new event stream has named them.
+        # The channel's proxies wait for a bind again once the new event stream has named them.
         self.unbound_proxies = {k: p for k, p in self.unbound_proxies.items() if p.external}
 
     def new_table(self, number):
@@ -420,7 +420,8 @@
         ones, and its delay.
 
         The spans of a (task, zone) pair add up; the median of all pairs excludes those with idle periods or
-        lost reports. Without a pair that was counted before, the reports are taken to be as late as the last.
+        lost reports. The first reports start where the first proxy joined; if only other pairs were counted
+        before, the reports are taken to be as late as the last ones.
         """
         starts = self.counted_until or {(e.task, e.zone): self.first_join_at for e in self.pending_reports}
         ends = [starts[e.task, e.zone] + e.span for e in self.pending_reports if (e.task, e.zone) in starts]
@@ -1101,6 +1102,7 @@
             p.joined_at for p in waiting
         ):
             return False
+        # Lines that still fit into the message to each waiting proxy
         room = int(
             (PUSH_QUEUE_SHARES[0] * self.parameters.queue_limit - self.queue) / len(waiting) - overhead
         )
@@ -1164,7 +1166,7 @@
                 fit or self.queue <= PUSH_START_QUEUE_S[urgency] * self.parameters.channel_lines
             ):
                 max_queue = PUSH_MAX_QUEUE_S * self.parameters.channel_lines if urgency else limit
-                # Lines of each proxy's message
+                # Lines that still fit into each proxy's message
                 room = int(
                     (min(PUSH_QUEUE_SHARES[urgency] * limit, max_queue) - self.queue) / proxy_count - overhead
                 )
