--- a/tests/front_end_harness.py
+++ b/tests/front_end_harness.py
@@ -4,7 +4,7 @@
 import contextlib
 
 import msgspec
-from helper import Play, line, until
+from helper import BrainHarness, task_line, wait_until
 
 from garnetpaddle import boot
 from garnetpaddle import interface as gp
@@ -45,8 +45,8 @@
         self.by_task = {k: ("127.0.0.1", 1_000 + n) for n, k in enumerate(tasks)}
 
 
-class FrontEndHarness(Play):
-    """Play with front ends.
+class FrontEndHarness(BrainHarness):
+    """A BrainHarness with front ends.
 
     Events of followers are handled with the next batch. native_weights: the table that the relay would
     hold."""
@@ -65,7 +65,7 @@
         self.front_ends = FrontEnds(
             configuration,
             SETTINGS,
-            self.terms,
+            self.parameters,
             self.task_addresses,
             lambda: self.now,
             self.follower_events.append,
@@ -73,19 +73,19 @@
         if not restarted:
             self.front_ends.registry.leases.started_at = -1_000_000
         self.front_ends.publish_snapshot(
-            self.now, [gp.TaskListReceived("full", tuple(line(t) for t in tasks))], self.all_orders
+            self.now, [gp.TaskListReceived("full", tuple(task_line(t) for t in tasks))], self.all_orders
         )
 
-    def hear(self, *events):
+    def handle(self, *events):
         events = (*events, *self.follower_events)
         self.follower_events.clear()
-        super().hear(*events)
-        self.all_orders = [*getattr(self, "all_orders", []), *self.last] if not self.front_ends else []
+        super().handle(*events)
+        self.all_orders = [*getattr(self, "all_orders", []), *self.last_orders] if not self.front_ends else []
         ours = gp.SetTimer | gp.LogMessage | gp.SendProbe
         self.platform_replies.append(
-            FrontEnds.platform_orders([o for o in self.last if not isinstance(o, ours)])
+            FrontEnds.platform_orders([o for o in self.last_orders if not isinstance(o, ours)])
         )
-        for order in self.last:
+        for order in self.last_orders:
             match order:
                 case gp.SetWeight():
                     if order.table != self.native_table:
@@ -95,7 +95,7 @@
                 case gp.WithdrawTask():
                     self.withdrawn_tasks[order.task] = order.withdrawn
         if self.front_ends:
-            self.front_ends.publish_snapshot(self.now, events, self.last)
+            self.front_ends.publish_snapshot(self.now, events, self.last_orders)
 
     def native_weights_by_port(self):
         """Returns the relay's table as port -> weight."""
@@ -108,7 +108,7 @@
     async def advance_with_io(self, seconds, check=None):
         """Advances the clock in steps of 0.1 s and lets the sockets be served after each."""
         for _ in range(round(seconds * 10)):
-            self.run(0.1)
+            self.advance(0.1)
             await self.settle()
             if check:
                 await check()
@@ -140,7 +140,7 @@
             run_task.cancel()
             self.front_ends.close()
             with contextlib.suppress(AssertionError):
-                await until(lambda: not self.front_ends.manager.connections)
+                await wait_until(lambda: not self.front_ends.manager.connections)
 
 
 def normalized(weights):
--- a/tests/helper.py
+++ b/tests/helper.py
@@ -1,4 +1,4 @@
-"""Test helpers: `Play` feeds a Brain fixed events and records its orders; traces/ has the expected traces."""
+"""Test helpers; `BrainHarness` feeds a Brain events and records its orders. traces/: the expected traces."""
 
 import asyncio
 import dataclasses
@@ -11,7 +11,7 @@
 from garnetpaddle.brain import Brain
 
 TRACES = pathlib.Path(__file__).parent / "traces"
-TERMS = gp.Parameters(
+PARAMETERS = gp.Parameters(
     routes=(gp.Route(1, 12_000), gp.Route(2, 15_000), gp.Route(5, 20_000)),
     list_mode="push",
     resubscribe_deadline=100_000,
@@ -31,39 +31,39 @@
 )
 
 
-def line(task, state="ready", started=0.0, size=1.0, kind=""):
+def task_line(task, state="ready", started=0.0, size=1.0, kind=""):
     return gp.TaskLine(task, "z", 0, state, size, round(started * 10_000), kind)
 
 
-def changes(*lines):
+def list_changes(*lines):
     return gp.TaskListReceived("changes", lines)
 
 
-def matches(name, trace):
+def assert_trace_matches(name, trace):
     path, actual = TRACES / f"{name}.txt", "\n".join(trace) + "\n"
     if os.environ.get("GARNET_TRACES") == "write":
         path.write_text(actual)
     assert actual == path.read_text()
 
 
-def shown(event):
+def format_event(event):
     """Formats an event or order as one line: its class name and its values."""
     values = (getattr(event, f.name) for f in dataclasses.fields(event))
     return f"{type(event).__name__} " + " ".join(
-        f"({', '.join(shown(v) for v in value)})" if isinstance(value, tuple) and value else str(value)
+        f"({', '.join(format_event(v) for v in value)})" if isinstance(value, tuple) and value else str(value)
         for value in values
     )
 
 
-class StandIn:
-    """A server on loopback that runs a step of its script for each request, then those that `always` returns.
+class ScriptedServer:
+    """A loopback server: runs a step of its script for each request, then those that `default_step` returns.
 
     A step is a list of bytes to write and delays in seconds, None for no response, "break" to abort the
     connection, a function that returns one of these, or a coroutine function that handles the connection.
     """
 
-    def __init__(self, *script, always=None):
-        self.script, self.always, self.said, self.writers = list(script), always, [], []
+    def __init__(self, *script, default_step=None):
+        self.script, self.default_step, self.requests, self.writers = list(script), default_step, [], []
 
     async def __aenter__(self):
         self.server = await asyncio.start_server(self.serve, "127.0.0.1", 0)
@@ -81,8 +81,12 @@
             while head := (await reader.readuntil(b"\r\n\r\n")).decode():
                 size = re.search(r"content-length: (\d+)", head.lower())
                 body = (await reader.readexactly(int(size[1]))).decode() if size else ""
-                self.said.append(f"{head.splitlines()[0]} {unquote(body)}".strip())
-                step = self.script.pop(0) if self.script else self.always and self.always(self.said[-1])
+                self.requests.append(f"{head.splitlines()[0]} {unquote(body)}".strip())
+                step = (
+                    self.script.pop(0)
+                    if self.script
+                    else self.default_step and self.default_step(self.requests[-1])
+                )
                 if asyncio.iscoroutinefunction(step) or asyncio.iscoroutinefunction(type(step).__call__):
                     await step(writer)  # it writes to the connection itself
                     continue
@@ -98,11 +102,11 @@
             pass
 
 
-def http(body, status="200 OK"):
+def http_response(body, status="200 OK"):
     return [f"HTTP/1.1 {status}\r\nContent-Length: {len(body)}\r\n\r\n{body}".encode()]
 
 
-async def until(condition):
+async def wait_until(condition):
     """Runs the event loop until the condition holds; fails after 30 s."""
     for _ in range(3_000):
         if condition():
@@ -111,18 +115,18 @@
     raise AssertionError("condition not met after 30 s")
 
 
-class Play:
-    def __init__(self, tasks="abcd", proxies=2, acknowledges=True, total=1, **terms):
-        self.terms = dataclasses.replace(TERMS, proxies=total, **terms)
-        self.brain, self.now, self.trace, self.pending_events = Brain(self.terms, 7), 0, [], []
-        self.sums = {t: (10, 0, 200) for t in tasks}  # tries, failures and mean ms of each report
-        self.load, self.probes, self.next_report_at, self.acknowledges = {}, {}, 10_000, acknowledges
-        self.hear(gp.TaskListReceived("stale", tuple(line(t) for t in tasks)))
-        self.hear(*(gp.ProxyJoined(p, 20.0, True, "z") for p in range(proxies)))
+class BrainHarness:
+    def __init__(self, tasks="abcd", proxies=2, acknowledges=True, total=1, **parameters):
+        self.parameters = dataclasses.replace(PARAMETERS, proxies=total, **parameters)
+        self.brain, self.now, self.trace, self.pending_events = Brain(self.parameters, 7), 0, [], []
+        self.reported_sums = {t: (10, 0, 200) for t in tasks}  # tries, failures and mean ms of each report
+        self.load, self.probe_outcomes, self.next_report_at, self.acknowledges = {}, {}, 10_000, acknowledges
+        self.handle(gp.TaskListReceived("stale", tuple(task_line(t) for t in tasks)))
+        self.handle(*(gp.ProxyJoined(p, 20.0, True, "z") for p in range(proxies)))
 
-    def hear(self, *events):
+    def handle(self, *events):
         entries = []
-        self.last = orders = self.brain.handle(self.now, events)
+        self.last_orders = orders = self.brain.handle(self.now, events)
         to_all = any(isinstance(o, gp.SetWeight | gp.SetAdmission) for o in orders)
         reached = self.brain.proxies if to_all else [o.proxy for o in orders if isinstance(o, gp.BindProxy)]
         reached = [p for p in reached if not self.brain.proxies[p].external]
@@ -146,12 +150,12 @@
                         (self.now + 3_000, gp.OrdersApplied(p, o.mark, 3_000)) for p in asked
                     ]
                 case gp.SendProbe():
-                    outcome = self.probes.get(o.task, "ok")
+                    outcome = self.probe_outcomes.get(o.task, "ok")
                     self.pending_events.append((self.now + 500, gp.ProbeFinished(o.task, 500, outcome, {})))
         if entries:
             self.trace.append(f"{self.now / 10_000:5.1f}  " + ", ".join(entries))
 
-    def run(self, seconds):
+    def advance(self, seconds):
         """Advances time in steps of 0.1 s, with reports each period, acknowledgements and probe results."""
         for _ in range(round(seconds * 10)):
             self.now += 1_000
@@ -159,18 +163,18 @@
             self.pending_events = [(at, e) for at, e in self.pending_events if at > self.now]
             if self.now >= self.next_report_at:
                 self.next_report_at += 10_000
-                for task, (tries, failures, ms) in self.sums.items():
+                for task, (tries, failures, ms) in self.reported_sums.items():
                     events.append(gp.TaskReport(task, "z", tries, failures, ms * 10.0, 10_000, self.load))
-            self.hear(*events)
+            self.handle(*events)
 
-    def lose(self, perhaps):
+    def lose_last_orders(self, perhaps):
         """Tells the Brain that the orders of the last batch are lost, or `perhaps` carried out."""
-        self.say(f"orders lost, {'possibly' if perhaps else 'not'} carried out")
-        self.hear(gp.OrdersLost(tuple(self.last), perhaps))
-        self.say(f"reckoned to wait: {self.brain.queue:.0f} lines")
+        self.add_label(f"orders lost, {'possibly' if perhaps else 'not'} carried out")
+        self.handle(gp.OrdersLost(tuple(self.last_orders), perhaps))
+        self.add_label(f"reckoned to wait: {self.brain.queue:.0f} lines")
 
-    def say(self, text):
+    def add_label(self, text):
         self.trace.append(f"       -- {text}")
 
-    def matches(self, name):
-        matches(name, self.trace)
+    def assert_trace_matches(self, name):
+        assert_trace_matches(name, self.trace)
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -7,7 +7,7 @@
 import re
 import sys
 
-from helper import StandIn, http
+from helper import ScriptedServer, http_response
 
 GRACE = 3.0  # s: the default of stop_sending_within
 CAUGHT_UP = 10.0  # s within which nine of ten restarted assigners have to be ready
@@ -23,7 +23,7 @@
 
 def taken(count):
     """The relay's response to a request of which `count` orders were executed."""
-    return http(f"<Response><entries><item><taken>{count}</taken></item></entries></Response>")
+    return http_response(f"<Response><entries><item><taken>{count}</taken></item></entries></Response>")
 
 
 def listed(generation, reset, *entries):
@@ -58,8 +58,8 @@
         self.speaks.set()
 
     def listen(self):
-        return StandIn(
-            always=lambda request: (
+        return ScriptedServer(
+            default_step=lambda request: (
                 self.serve_events if "/v1/events" in request else self.make_handler(request)
             )
         )
@@ -171,7 +171,7 @@
         self.speaks.set()
 
     def listen(self):
-        return StandIn(always=self.make_handler)
+        return ScriptedServer(default_step=self.make_handler)
 
     def tell(self, *changes, generation=None):
         """Starts another generation with these changed entries, or if `whole`, with this full list."""
@@ -200,7 +200,7 @@
             else:
                 changed = [entry for at, entries in self.changes.items() if at > since for entry in entries]
                 body = listed(self.generation, False, *changed)
-            writer.write(b"".join(http(body)))
+            writer.write(b"".join(http_response(body)))
 
         return respond
 
@@ -255,7 +255,7 @@
 
 
 def at(party):
-    """The address of a StandIn as host:port."""
+    """The address of a ScriptedServer as host:port."""
     return f"{party.address[0]}:{party.address[1]}"
 
 
--- a/tests/test_advice.py
+++ b/tests/test_advice.py
@@ -3,7 +3,7 @@
 import dataclasses
 
 import pytest
-from helper import changes, line, matches
+from helper import assert_trace_matches, list_changes, task_line
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
@@ -51,7 +51,7 @@
     for top in (1.0, 3.0, 6.5, 6.6, 6.0, 5.3, 5.2, 30.0, 80.0, 3.0):
         integers = scale.to_integers({"top": top, "other": 0.8, "cold": 0.012}, {"cold": True})
         trace.append(f"top {top:4}: {' '.join(f'{k} {n}' for k, n in integers.items())}")
-    matches("advice_scale", trace)
+    assert_trace_matches("advice_scale", trace)
 
 
 @pytest.mark.parametrize("retries", ["none", "on proof", "any"])
@@ -63,7 +63,7 @@
                 why = refusal_reason(effect, retries, Level(part, tries), already_granted) or "allowed"
                 has = "granted" if already_granted else "new"
                 trace.append(f"{effect}, level {part:g}, tries {tries}, {has}: {why}")
-    matches(f"advice_authorization_{retries.replace(' ', '_')}", trace)
+    assert_trace_matches(f"advice_authorization_{retries.replace(' ', '_')}", trace)
 
 
 class AdviceTrace:
@@ -79,7 +79,7 @@
         addresses = {k: ("127.0.0.1", n) for n, k in enumerate(tasks, 1)}
         self.members = {k: Member(k.encode(), addresses[k], k) for k in tasks}
         self.last_sent = {}
-        self.apply_batch([gp.TaskListReceived("full", tuple(map(line, tasks)))], [], addresses)
+        self.apply_batch([gp.TaskListReceived("full", tuple(map(task_line, tasks)))], [], addresses)
 
     def apply_batch(self, events=(), orders=(), addresses=None):
         self.now += 10
@@ -113,17 +113,17 @@
     advice.record_step("table of this process, not adjusted yet")
     advice.apply_batch([], [gp.SetWeight(1, "a", 1.2), gp.SetWeight(1, "b", 0.4)])
     advice.record_step("weights adjusted")
-    advice.apply_batch([changes(line("b", "draining"))])
+    advice.apply_batch([list_changes(task_line("b", "draining"))])
     advice.record_step("b drains, no order for it yet")
     advice.apply_batch([], [gp.SetWeight(1, "c", 0.0)])
     advice.record_step("c is removed from the table")
     advice.apply_batch([gp.ChannelStateUnknown()], [])
     advice.record_step("all orders in doubt: last advice stands")
-    advice.apply_batch([changes(line("a", "gone"))])
+    advice.apply_batch([list_changes(task_line("a", "gone"))])
     advice.record_step("a is gone meanwhile")
     advice.apply_batch([], [gp.SetWeight(2, "c", 1.0), gp.BindProxy(FIRST_FOLLOWER_PROXY_NUMBER, 2)])
     advice.record_step("bound to a new table")
-    advice.apply_batch([changes(line("a", started=99.0))], [gp.SetWeight(2, "a", 0.012)])
+    advice.apply_batch([list_changes(task_line("a", started=99.0))], [gp.SetWeight(2, "a", 0.012)])
     advice.record_step("a has restarted and is cold")
     advice.record_step("no call of the route is admitted", admitted=False)
     advice.members["c"] = dataclasses.replace(advice.members["c"], quiesced=True)
@@ -132,17 +132,17 @@
     advice.record_step("no weight in the group: a cold, c quiesced")
     advice.members["c"] = dataclasses.replace(advice.members["c"], quiesced=False)
     advice.record_step("c ready and warm: sent as last resort")
-    matches("advice_member_weights", advice.trace)
+    assert_trace_matches("advice_member_weights", advice.trace)
 
 
 def test_forgotten_task_is_replaced_by_the_next_task_at_its_address():
     advice = AdviceTrace("a")
     advice.apply_batch([], [gp.SetWeight(1, "a", 1.0), gp.BindProxy(FIRST_FOLLOWER_PROXY_NUMBER, 1)])
     advice.record_step("a has a weight")
-    advice.apply_batch([changes(line("a", "gone"))], [gp.SetWeight(1, "a", 0.0)])
+    advice.apply_batch([list_changes(task_line("a", "gone"))], [gp.SetWeight(1, "a", 0.0)])
     advice.record_step("a is gone")
     advice.now += 6_000_000
-    advice.apply_batch([changes(line("n"))], [gp.SetWeight(1, "n", 1.0)], {"n": ("127.0.0.1", 1)})
+    advice.apply_batch([list_changes(task_line("n"))], [gp.SetWeight(1, "n", 1.0)], {"n": ("127.0.0.1", 1)})
     advice.apply_batch()
     advice.record_step("ten minutes later n listens there")
     assert advice.trace[-1].endswith("a=10000 unsure")
@@ -187,7 +187,7 @@
     delivery.step(9_200, "second update acknowledged", ("acknowledge", 260))
     delivery.step(31_400, "no further message")
     delivery.step(31_500, "the safety margin of the grace period begins")
-    matches("update_delivery_answers", delivery.trace)
+    assert_trace_matches("update_delivery_answers", delivery.trace)
 
 
 def test_tcp_acknowledgement_confirms_a_drain_without_a_message():
@@ -202,7 +202,7 @@
     )
     delivery.step(20_700, "not acknowledged for 2 s")
     delivery.step(23_200, "after three quarters of the grace period")
-    matches("update_delivery_acknowledged", delivery.trace)
+    assert_trace_matches("update_delivery_acknowledged", delivery.trace)
 
 
 def test_unsent_drain_becomes_overdue_too():
@@ -280,4 +280,4 @@
     record_step(
         112_000, "x confirmed a drain since: not blocked", leases.refusal_reason(112_000, "x", 5, False)
     )
-    matches("follower_leases", trace)
+    assert_trace_matches("follower_leases", trace)
--- a/tests/test_codecs.py
+++ b/tests/test_codecs.py
@@ -3,7 +3,7 @@
 import json
 
 import pytest
-from helper import matches, shown
+from helper import assert_trace_matches, format_event
 
 from garnetpaddle import interface as gp
 from garnetpaddle.net import configuration, event_subscription, message_codec, order_codec
@@ -53,7 +53,7 @@
 def read_lines(chunks):
     splitter = LineSplitter(PROTOCOL_LINE_END, 1 << 20)
     parsed = [message_codec.parse_line(line, KNOWN) for chunk in chunks for line in splitter.split(chunk)]
-    return [shown(message) for message in parsed]
+    return [format_event(message) for message in parsed]
 
 
 def read_event_stream(chunks):
@@ -61,7 +61,7 @@
     for kind, fields in (event for chunk in chunks for event in parser.feed(chunk)):
         try:
             parsed.append(
-                shown(message_codec.parse_event(kind, fields, event_subscription.NO_ROUTES))
+                format_event(message_codec.parse_event(kind, fields, event_subscription.NO_ROUTES))
                 if kind
                 else "keep-alive"
             )
@@ -76,7 +76,7 @@
 )
 def test_parsing_does_not_depend_on_chunk_boundaries(read, text, name):
     whole = read([text])
-    matches(name, whole)
+    assert_trace_matches(name, whole)
     for cut in range(1, len(text)):
         assert read([text[:cut], text[cut:]]) == whole
     assert read([text[k : k + 1] for k in range(len(text))]) == whole
@@ -147,9 +147,9 @@
         membership.switch()
     membership.receive(first, gp.ProxyLeft(1))
     membership.receive(second, joined(2, 9.0))
-    assert sorted(map(shown, published)) == sorted(
+    assert sorted(map(format_event, published)) == sorted(
         map(
-            shown,
+            format_event,
             [
                 gp.ProxyLeft(3),
                 gp.ProxyLeft(5),
@@ -183,7 +183,7 @@
         for call in order_codec.split_into_requests(ORDERS, ["read", "write"], marks, limit):
             encoded.append(";".join(text for _, text in call))
     encoded.append(order_codec.request_body(call).decode())
-    matches("relay_requests", encoded)
+    assert_trace_matches("relay_requests", encoded)
 
 
 def test_marks_of_an_earlier_process_are_ignored():
--- a/tests/test_dfp.py
+++ b/tests/test_dfp.py
@@ -1,7 +1,7 @@
 """draft-eck-dfp: the codec against hand-written bytes, and the agent's session by short traces."""
 
 import pytest
-from helper import changes, line, matches
+from helper import assert_trace_matches, list_changes, task_line
 from hypothesis import given, settings
 from hypothesis import strategies as st
 from test_sasp import bytes_of
@@ -158,7 +158,7 @@
         addresses = addresses or {"a": ("10.0.0.1", 80), "b": ("10.0.0.2", 80), "c": ("10.0.0.1", 81)}
         self.snapshot_builder.update(
             self.now,
-            [gp.TaskListReceived("full", tuple(map(line, addresses)))],
+            [gp.TaskListReceived("full", tuple(map(task_line, addresses)))],
             [gp.SetWeight(1, k, 1.0) for k in addresses],
             addresses,
         )
@@ -238,7 +238,7 @@
     harness.advance(2)
     harness.note("b drains: sent at once")
     harness.apply_batch([], [gp.SetWeight(1, "c", 0.7)])
-    harness.apply_batch([changes(line("b", "draining"))])
+    harness.apply_batch([list_changes(task_line("b", "draining"))])
     harness.note("nothing changes: keep-alives are sent, more often once it requests that")
     harness.advance(4)
     harness.dispatch(MessageReceived(Parameters(2)))
@@ -248,7 +248,7 @@
     harness.dispatch(MessageReceived(codec.ServerState((Load(80, (Host(bytes([10, 0, 0, 1]), 0),)),))))
     harness.dispatch(MessageReceived(BindIdRequest()))
     harness.dispatch(MessageReceived(InvalidMessage("an unknown message")))
-    matches("dfp_updates", harness.trace)
+    assert_trace_matches("dfp_updates", harness.trace)
 
 
 def test_manager_that_does_not_read_is_closed_within_the_grace_period():
@@ -257,7 +257,7 @@
     harness.advance(2)
     harness.hold_acks = True
     harness.note("nothing is acknowledged; b drains")
-    harness.apply_batch([changes(line("b", "draining"))])
+    harness.apply_batch([list_changes(task_line("b", "draining"))])
     harness.advance(3)
     harness.note("it reconnects: it must acknowledge a message, and its block time must pass")
     harness.session.handle(harness.now, ConnectionLost("reset"))
@@ -267,7 +267,7 @@
     harness.dispatch(BytesAcknowledged(harness.written))
     harness.apply_batch()
     harness.advance(2)
-    matches("dfp_no_read", harness.trace)
+    assert_trace_matches("dfp_no_read", harness.trace)
 
 
 def test_only_ipv4_tasks_are_members_and_a_gone_task_is_sent_weight_0_once():
@@ -276,15 +276,15 @@
     )
     harness.apply_batch()
     harness.advance(2)
-    harness.apply_batch([changes(line("a", "gone"))], [gp.SetWeight(1, "a", 0.0)])
+    harness.apply_batch([list_changes(task_line("a", "gone"))], [gp.SetWeight(1, "a", 0.0)])
     harness.advance(1)
     harness.note("ten minutes later the gone task is forgotten")
     harness.dispatch(MessageReceived(Parameters(0)))
     harness.now += 6_000_000
     harness.apply_batch()
-    harness.apply_batch([changes(line("n"))], [gp.SetWeight(1, "n", 1.0)], {"n": ("10.0.0.1", 80)})
+    harness.apply_batch([list_changes(task_line("n"))], [gp.SetWeight(1, "n", 1.0)], {"n": ("10.0.0.1", 80)})
     harness.advance(1)
-    matches("dfp_members", harness.trace)
+    assert_trace_matches("dfp_members", harness.trace)
 
 
 @pytest.mark.parametrize("effect, retries", [("mutating", "any"), ("keyed", "any"), ("mutating", "none")])
--- a/tests/test_fault_scenarios.py
+++ b/tests/test_fault_scenarios.py
@@ -11,8 +11,7 @@
 
 import helper
 import pytest
-from helper import TERMS, Play, StandIn, changes, shown, until
-from helper import line as task_line
+from helper import PARAMETERS, BrainHarness, ScriptedServer, format_event, list_changes, task_line, wait_until
 from peers import (
     CAUGHT_UP,
     CHUNKED,
@@ -102,14 +101,14 @@
             relay.listen() as new_relay,
             Program(write_configuration(tmp_path, old_discovery, old_relay, "abc")) as program,
         ):
-            await until(lambda: relay.callable() == "4:abc 5:abc")
+            await wait_until(lambda: relay.callable() == "4:abc 5:abc")
             new_agent.speaks.clear()
             addresses = {"discovery": (new_discovery, old_relay), "both": (new_discovery, new_relay)}
             write_configuration(tmp_path, *addresses.get(moves, (old_discovery, new_relay)), "abc")
             program.signal(signal.SIGHUP)
             # The move is in progress: the new addresses have received requests but not answered them.
-            await until(lambda: "relay" in moves or new_agent.asked)
-            await until(lambda: moves == "discovery" or new_relay.said)
+            await wait_until(lambda: "relay" in moves or new_agent.asked)
+            await wait_until(lambda: moves == "discovery" or new_relay.requests)
             await announce_drain(drain_source, old_agent, new_agent)
             if drain_source == "older":  # the older list arrives after the drain has been applied
                 await within(GRACE, lambda: relay.callable() == "4:ac 5:ac")
@@ -120,7 +119,7 @@
             await within(GRACE, lambda: relay.callable() == "4:ac 5:ac")
             if drain_source == "older":
                 # The older list and a complete watch after it have arrived: b would be in a table again.
-                await until(lambda: new_agent.asked > 2)
+                await wait_until(lambda: new_agent.asked > 2)
                 new_agent.tell(("b", "leaving"), generation=52)
             move_events = [] if moves == "discovery" else ["event=news_moved"]
             await program.logged_all(*move_events, *["event=discovery_moved"] * ("relay" not in moves))
@@ -131,7 +130,7 @@
 
     result, relay, current_relay = asyncio.run(scenario())
     assert result == ENDED
-    assert "put,1,s-c,0.0" in current_relay.said[-1] or moves == "broken relay"
+    assert "put,1,s-c,0.0" in current_relay.requests[-1] or moves == "broken relay"
     assert distinct_states(relay.history) == ["4:abc 5:abc", "4:ac 5:ac", "4:a 5:a"]
     # Removed once; after a broken stream the proxies are bound to a new table without b.
     assert [relay.ordered(f"put,1,s-{task},0.0") for task in "ab"] == [0, moves != "broken relay"]
@@ -178,7 +177,7 @@
             )
             path = write_configuration(tmp_path, discovery, address, "abc", *settings)
             async with Program(path) as program:
-                await until(lambda: relay.callable() == "4:abc 5:abc")
+                await wait_until(lambda: relay.callable() == "4:abc 5:abc")
                 collector = Collector(listen_address.split(":"))
                 await collector.join()
                 calls = relay.calls
@@ -205,7 +204,7 @@
         asked = agent.asked
         agent.tell()
         collector.report()
-        await until(lambda asked=asked: agent.asked > asked)
+        await wait_until(lambda asked=asked: agent.asked > asked)
 
 
 async def silent_discovery(agent, relay, must_ask_in):
@@ -265,12 +264,12 @@
         async with agent.listen() as discovery, relay.listen() as address:
             setting = ("settings/contract/dropped_stay_open", stay_open)
             async with Program(write_configuration(tmp_path, discovery, address, "abcd", setting)) as program:
-                await until(lambda: relay.callable() == expected[0])
+                await wait_until(lambda: relay.callable() == expected[0])
                 calls = relay.calls
 
                 async def send_list(*entries):
                     agent.tell(*entries)
-                    await until(lambda asked=agent.asked: agent.asked > asked)
+                    await wait_until(lambda asked=agent.asked: agent.asked > asked)
 
                 # The same list repeatedly, with a duplicate entry, in different orders.
                 for _ in range(HEALTHY_ROUNDS):
@@ -337,7 +336,7 @@
         async with agent.listen() as discovery, relay.listen() as address:
             path = write_configuration(tmp_path, discovery, address, "abc", ("listen", listen_address))
             async with Program(path) as first_program:  # the proxies keep the tables of this process
-                await until(lambda: relay.callable() == "4:abc 5:abc")
+                await wait_until(lambda: relay.callable() == "4:abc 5:abc")
                 await kill_and_wait(first_program, signal.SIGKILL)
             relay.restarted()
             (relay.speaks if kill_time == "bound" else relay.answers).clear()
@@ -347,7 +346,7 @@
                 if kill_time != "bound":
                     await wait_for_heartbeat(listen_address)
                 if kill_time == "called":
-                    await until(lambda: relay.calls > calls)
+                    await wait_until(lambda: relay.calls > calls)
                 await kill_and_wait(second_program, kill_signal)
             relay.restarted()
             relay.speaks.set()
@@ -392,17 +391,17 @@
             collections.deque(maxlen=BUDGET_WINDOW // TURN_INTERVAL),
         )
         for rank, (count, rate) in enumerate(zip(self.proxy_counts, self.call_rates, strict=True)):
-            terms = {"total": sum(self.proxy_counts), "assigners": ASSIGNERS, "rank": rank}
-            assigner = Play((), 0, probes_allowed=False, warm_after=WARM_UP_TIME, **terms)
-            assigner.now, assigner.sums = START_TIME, {}
-            assigner.hear(gp.TaskListReceived("full", tuple(map(task_line, tasks))))
-            assigner.hear(*(gp.ProxyJoined(proxy, rate, True, "z") for proxy in range(count)))
-            assigner.run(5)
+            parameters = {"total": sum(self.proxy_counts), "assigners": ASSIGNERS, "rank": rank}
+            assigner = BrainHarness((), 0, probes_allowed=False, warm_after=WARM_UP_TIME, **parameters)
+            assigner.now, assigner.reported_sums = START_TIME, {}
+            assigner.handle(gp.TaskListReceived("full", tuple(map(task_line, tasks))))
+            assigner.handle(*(gp.ProxyJoined(proxy, rate, True, "z") for proxy in range(count)))
+            assigner.advance(5)
             self.assigners.append(assigner)
         self.started_at = self.assigners[0].now
         for assigner in self.assigners:
-            assigner.hear(
-                changes(*(task_line(task, started=assigner.now / 10_000) for task in self.cold_tasks))
+            assigner.handle(
+                list_changes(*(task_line(task, started=assigner.now / 10_000) for task in self.cold_tasks))
             )
 
     def run_turn(self):
@@ -410,15 +409,19 @@
 
         The capacity of a warm task is an even share of all calls, as in a fully used fleet."""
         for assigner in self.assigners:
-            assigner.run(TURN_INTERVAL / 10_000)
+            assigner.advance(TURN_INTERVAL / 10_000)
         age = (self.assigners[0].now - self.started_at) / WARM_UP_TIME
-        capacity = (TERMS.start_share + (1 - TERMS.start_share) * min(age, 1)) * self.total_call_rate / TASKS
+        capacity = (
+            (PARAMETERS.start_share + (1 - PARAMETERS.start_share) * min(age, 1))
+            * self.total_call_rate
+            / TASKS
+        )
         rates_by_task = collections.Counter()
         for assigner, count, rate in zip(self.assigners, self.proxy_counts, self.call_rates, strict=True):
             laid = {task: weight for table in assigner.brain.tables for task, weight in table.weights.items()}
             for task, weight in laid.items():
                 rates_by_task[task] += count * rate * weight / sum(laid.values())
-        self.window.append((rates_by_task, TERMS.fall_multiple * capacity))
+        self.window.append((rates_by_task, PARAMETERS.fall_multiple * capacity))
         return rates_by_task
 
     def max_budget_fraction(self):
@@ -445,13 +448,13 @@
     )  # all tasks are in the tables again
 
 
-@pytest.mark.parametrize("terms", [{"fall_multiple": 2.0}, {"start_share": 0.1, "warm_after": 300_000}])
-def test_cold_tasks_alone_are_not_overloaded_at_any_start_capacity(terms, monkeypatch):
+@pytest.mark.parametrize("parameters", [{"fall_multiple": 2.0}, {"start_share": 0.1, "warm_after": 300_000}])
+def test_cold_tasks_alone_are_not_overloaded_at_any_start_capacity(parameters, monkeypatch):
     """Cold tasks were overloaded: once their capacity, each counted up to an even share, reached 0.45 of the
     fleet's work, they were treated as warm and got all calls."""
-    changed = dataclasses.replace(TERMS, **{"warm_after": WARM_UP_TIME} | terms)
+    changed = dataclasses.replace(PARAMETERS, **{"warm_after": WARM_UP_TIME} | parameters)
     for module in (helper, sys.modules[__name__]):
-        monkeypatch.setattr(module, "TERMS", changed)
+        monkeypatch.setattr(module, "PARAMETERS", changed)
     monkeypatch.setattr(sys.modules[__name__], "WARM_UP_TIME", changed.warm_after)
     fleet, max_fraction = Fleet(TASKS), 0.0
     while fleet.assigners[0].now < fleet.started_at + WARM_UP_TIME:
@@ -465,17 +468,17 @@
 
 def test_assigner_without_proxies_has_bounded_orders_and_state():
     """20 minutes with a change each: one order per change, one probe per task and second, bounded state."""
-    assigner, orders_by_type, sizes = Play("abcd", 0), collections.Counter(), []
+    assigner, orders_by_type, sizes = BrainHarness("abcd", 0), collections.Counter(), []
 
-    def hear_and_count(*events):
-        assigner.hear(*events)
-        orders_by_type.update(type(order).__name__ for order in assigner.last)
+    def handle_and_count(*events):
+        assigner.handle(*events)
+        orders_by_type.update(type(order).__name__ for order in assigner.last_orders)
 
     for minute in range(20):
-        hear_and_count(changes(task_line("e", "draining" if minute % 2 else "ready")))
+        handle_and_count(list_changes(task_line("e", "draining" if minute % 2 else "ready")))
         for _ in range(600):
-            assigner.run(0.1)
-            orders_by_type.update(type(order).__name__ for order in assigner.last)
+            assigner.advance(0.1)
+            orders_by_type.update(type(order).__name__ for order in assigner.last_orders)
         sizes.append(state_size(assigner.brain))
     order_counts = {
         kind: orders_by_type[kind]
@@ -519,17 +522,17 @@
 def test_proxies_that_all_leave_and_rejoin_are_bound_again_with_bounded_state(has_only_default_table):
     """Proxies without a table are bound in the same turn; others keep theirs up to 6 s, as after a start."""
     assigner, sizes, seconds = (
-        Play("abcd", 3),
+        BrainHarness("abcd", 3),
         [],
         0.0 if has_only_default_table else INHERITED_TABLES_TENTHS_MS / 10_000,
     )
     for _ in range(100):
-        assigner.run(0.5)
-        assigner.hear(*(gp.ProxyLeft(proxy) for proxy in range(3)))
-        assigner.run(0.5)
+        assigner.advance(0.5)
+        assigner.handle(*(gp.ProxyLeft(proxy) for proxy in range(3)))
+        assigner.advance(0.5)
         count = len(assigner.trace)
-        assigner.hear(*(gp.ProxyJoined(proxy, 20.0, has_only_default_table, "z") for proxy in range(3)))
-        assigner.run(seconds)
+        assigner.handle(*(gp.ProxyJoined(proxy, 20.0, has_only_default_table, "z") for proxy in range(3)))
+        assigner.advance(seconds)
         assert [line[7:] for line in assigner.trace[count:]] == ["bind 0, bind 1, bind 2"]
         sizes.append(state_size(assigner.brain))
     assert max(sizes[10:]) <= max(sizes[:10])
@@ -545,9 +548,9 @@
             relay.listen() as address,
             Program(write_configuration(tmp_path, discovery, address, "abc")) as program,
         ):
-            await until(lambda: agent.asked)
+            await wait_until(lambda: agent.asked)
             started_at = asyncio.get_running_loop().time()
-            await until(lambda: agent.asked >= 4)
+            await wait_until(lambda: agent.asked >= 4)
             # Four requests: the list, a watch immediately after it, then two more.
             assert asyncio.get_running_loop().time() - started_at > 1.8
             request_counts = relay.calls, relay.asked, agent.asked
@@ -570,10 +573,10 @@
     for size in READ_SIZES:
         monkeypatch.setattr(module, "READ_SIZE", size)
         assert asyncio.run(scenario()) == unsplit
-    return list(map(shown, unsplit))
+    return list(map(format_event, unsplit))
 
 
-def http_response(text):
+def utf8_http_response(text):
     body = text.encode()
     return [f"HTTP/1.1 200 OK\r\nContent-Length: {len(body)}\r\n\r\n".encode() + body]
 
@@ -581,14 +584,14 @@
 @pytest.mark.usefixtures("patient")
 def test_split_task_lists(monkeypatch):
     script = [
-        http_response(listed(50, True, ("ä", "active"), ("b", "active"))),
+        utf8_http_response(listed(50, True, ("ä", "active"), ("b", "active"))),
         [CHUNKED, chunk(listed(51, False, ("ä", "leaving"))), b"0\r\n\r\n"],
-        http_response(listed(52, False, ("b", "left"))),
+        utf8_http_response(listed(52, False, ("b", "left"))),
     ]
 
     async def scenario():
         events = []
-        async with StandIn(*script) as agent:
+        async with ScriptedServer(*script) as agent:
             watch = TaskListWatch(agent.address, TaskAddresses(), events.append, False)
             return await run_until(watch, events, 3)
 
@@ -602,7 +605,7 @@
 async def run_until(component, events, count):
     """Runs a component until it has delivered this many events."""
     running = asyncio.create_task(component.run())
-    await until(lambda: len(events) >= count)
+    await wait_until(lambda: len(events) >= count)
     running.cancel()
     return events
 
@@ -619,7 +622,7 @@
         cuts = body.index("ü".encode()) + 1, body.index(b"\r\n\r\n") + 1
         parts = body[: cuts[0]], body[cuts[0] : cuts[1]], body[cuts[1] :]
         stream = [f"{len(part):x}\r\n".encode() + part + b"\r\n" for part in parts]
-        async with StandIn([CHUNKED, *stream], always=lambda _: None) as relay:
+        async with ScriptedServer([CHUNKED, *stream], default_step=lambda _: None) as relay:
             return await run_until(
                 EventSubscription(relay.address, MarkTranslator(0), events.append), events, 3
             )
@@ -639,12 +642,12 @@
         events = []
         answer = "<Response><!-- ä --><entries><item><taken>1</taken></item></entries></Response>"
         chunked = [CHUNKED, chunk(answer[:14]), chunk(answer[14:]), b"0\r\n\r\n"]
-        async with StandIn(http_response(answer), chunked, taken(1)) as relay:
+        async with ScriptedServer(utf8_http_response(answer), chunked, taken(1)) as relay:
             sender = OrderSender(relay.address, ["read"], MarkTranslator(0), events.append)
             for task in "abc":
                 sender.submit([gp.SetWeight(1, task, 1.0)])
             running = asyncio.create_task(sender.run())
-            await until(lambda: len(relay.said) == 3)
+            await wait_until(lambda: len(relay.requests) == 3)
             running.cancel()
             return [*events, gp.LogMessage(f"{len(relay.writers)} connections")]
 
@@ -654,14 +657,14 @@
 def test_split_probe_answers(monkeypatch):
     async def scenario():
         events, addresses = [], TaskAddresses()
-        async with StandIn(
-            http_response("TEXT inflight=7, ä=2, util=0.61"), http_response("TEXT util=0.5")
+        async with ScriptedServer(
+            utf8_http_response("TEXT inflight=7, ä=2, util=0.61"), utf8_http_response("TEXT util=0.5")
         ) as task:
             addresses.by_task["s-a"] = task.address
             prober = Prober(addresses, events.append, True, 8)
             for count in (1, 2):
                 prober.start(gp.SendProbe("s-a", 600_000))
-                await until(lambda count=count: len(events) == count)
+                await wait_until(lambda count=count: len(events) == count)
             return [gp.ProbeFinished(event.task, 0, event.outcome, event.load) for event in events]
 
     assert assert_independent_of_read_size(monkeypatch, client, scenario) == [
@@ -690,7 +693,7 @@
             await server.join(b"h")
             await server.join(b"hb\r\nhb\r\nh")
             reader, _ = await server.join(message)
-            await until(lambda: len(events) == 3)
+            await wait_until(lambda: len(events) == 3)
             answers = await reader.readexactly(3 * len(b"hb_ok\r\n"))
             return [*events, gp.LogMessage(f"{answers.count(b'hb_ok')} answers")]
 
@@ -753,7 +756,7 @@
             connections = [await server.join(message) for message in messages]
             async with asyncio.timeout(CAUGHT_UP):
                 responses = [await ending(reader) for reader, _ in connections]
-            await until(lambda: not server.ours.peers)
+            await wait_until(lambda: not server.ours.peers)
             return responses
 
     assert asyncio.run(scenario()) == [
--- a/tests/test_fronts.py
+++ b/tests/test_fronts.py
@@ -12,7 +12,7 @@
 
 import pytest
 from front_end_harness import FrontEndHarness, make_configuration, make_follower, same_shares
-from helper import changes, line, until
+from helper import list_changes, task_line, wait_until
 
 from garnetpaddle import interface as gp
 from garnetpaddle import operator as op
@@ -84,22 +84,22 @@
     async def scenario():
         harness = FrontEndHarness(make_configuration(make_follower(), pace=0.1))
         async with harness.serving() as addresses, sasp_client(addresses, harness) as client:
-            await until(lambda: harness.follower_events)
+            await wait_until(lambda: harness.follower_events)
             comparison = TableComparison(harness, client)
             await harness.advance_with_io(6, comparison)
-            harness.sums["a"], harness.sums["b"] = (10, 0, 80), (10, 0, 500)
+            harness.reported_sums["a"], harness.reported_sums["b"] = (10, 0, 80), (10, 0, 500)
             await harness.advance_with_io(10, comparison)
-            harness.hear(changes(line("c", "draining")))
+            harness.handle(list_changes(task_line("c", "draining")))
             await comparison()
             await harness.advance_with_io(2, comparison)
-            harness.sums["d"], harness.probes["d"] = (10, 10, 0), "timeout"
+            harness.reported_sums["d"], harness.probe_outcomes["d"] = (10, 10, 0), "timeout"
             await harness.advance_with_io(5, comparison)
-            harness.sums["d"], harness.probes["d"] = (10, 0, 200), "ok"
-            harness.hear(changes(line("c", started=harness.now / 10_000)))
+            harness.reported_sums["d"], harness.probe_outcomes["d"] = (10, 0, 200), "ok"
+            harness.handle(list_changes(task_line("c", started=harness.now / 10_000)))
             await harness.advance_with_io(25, comparison)
-            harness.hear(gp.ChannelStateUnknown())
+            harness.handle(gp.ChannelStateUnknown())
             await harness.advance_with_io(3, comparison)
-            harness.hear(gp.TaskListReceived("full", tuple(line(t) for t in "adef")))
+            harness.handle(gp.TaskListReceived("full", tuple(task_line(t) for t in "adef")))
             await harness.advance_with_io(5, comparison)
             seen = " ".join(harness.trace)
             for word in ("taken out", "let back", "c=0 ", "d="):
@@ -124,16 +124,16 @@
             harness.serving() as addresses,
             DfpClient(addresses["old"], uniform=shortest_wait) as client,
         ):
-            await until(lambda: harness.follower_events)
+            await wait_until(lambda: harness.follower_events)
             client.state_machine.tables = {"status": client.state_machine.table}
             client.weights = lambda group: tuple(client.state_machine.table.values())
             comparison = TableComparison(harness, client)
             await harness.advance_with_io(6, comparison)
-            harness.sums["a"], harness.sums["b"] = (10, 0, 80), (10, 0, 500)
+            harness.reported_sums["a"], harness.reported_sums["b"] = (10, 0, 80), (10, 0, 500)
             await harness.advance_with_io(8, comparison)
-            harness.hear(changes(line("c", "draining")))
+            harness.handle(list_changes(task_line("c", "draining")))
             await harness.advance_with_io(2, comparison)
-            harness.hear(changes(line("c", started=harness.now / 10_000)))
+            harness.handle(list_changes(task_line("c", started=harness.now / 10_000)))
             await harness.advance_with_io(20, comparison)
             return comparison.compared
 
@@ -153,8 +153,8 @@
             async with harness.serving() as addresses:
                 client = await stack.enter_async_context(sasp_client(addresses, harness))
                 watch_task = asyncio.create_task(watch(client))
-                await until(lambda: harness.follower_events)
-                harness.sums["a"] = (10, 0, 500)
+                await wait_until(lambda: harness.follower_events)
+                harness.reported_sums["a"] = (10, 0, 500)
                 comparison = TableComparison(harness, client)
                 await harness.advance_with_io(9, comparison)
                 previous_weights = weights_by_port(client)
@@ -164,11 +164,11 @@
             restarted = FrontEndHarness(
                 make_configuration(pace=0.1, listen=address), restarted=True, proxies=0
             )
-            restarted.sums = {}
-            restarted.hear(*(gp.ProxyJoined(p, 20.0, False, "z") for p in range(2)))
+            restarted.reported_sums = {}
+            restarted.handle(*(gp.ProxyJoined(p, 20.0, False, "z") for p in range(2)))
             async with restarted.serving():
                 count = len(received)
-                await until(lambda: restarted.follower_events)
+                await wait_until(lambda: restarted.follower_events)
                 assert [
                     e.has_only_default_table
                     for e in restarted.follower_events
@@ -176,7 +176,7 @@
                 ] == [False]
                 await restarted.advance_with_io(2)
                 assert weights_by_port(client) == previous_weights and len(received) == count
-                restarted.sums = {t: (10, 0, 500 if t == "a" else 200) for t in "abcdef"}
+                restarted.reported_sums = {t: (10, 0, 500 if t == "a" else 200) for t in "abcdef"}
                 comparison = TableComparison(restarted, client)
                 await restarted.advance_with_io(8, comparison)
                 assert comparison.compared and len(received) > count
@@ -205,13 +205,13 @@
             members = tuple(m.MemberData.from_address(*at) for at in harness.members("abcdef"))
             writer.write(codec.encode(m.SetLbState(1, b"not_reading", 0, True, False, False)))
             writer.write(codec.encode(m.Register(2, True, ((name, members),))))
-            await until(lambda: len(harness.follower_events) == 3)
+            await wait_until(lambda: len(harness.follower_events) == 3)
             await harness.advance_with_io(1.5)
-            await until(lambda: weights_by_port(answers) and weights_by_port(silent))
+            await wait_until(lambda: weights_by_port(answers) and weights_by_port(silent))
             drained_at = harness.now
-            harness.hear(changes(line("a", "draining")))
+            harness.handle(list_changes(task_line("a", "draining")))
             port = harness.task_addresses.by_task["a"][1]
-            await until(lambda: not weights_by_port(answers)[port] and not weights_by_port(silent)[port])
+            await wait_until(lambda: not weights_by_port(answers)[port] and not weights_by_port(silent)[port])
             leave_delays = {}
             while len(leave_delays) < 2 and harness.now < drained_at + 40_000:
                 await harness.advance_with_io(0.1)
@@ -223,8 +223,8 @@
             writer.transport.abort()
             # The confirming client stays connected; the silent one is refused at first, then admitted.
             assert answers.log == ["opened"]
-            await until(lambda: silent.log.count("opened") > 1)
-            await until(lambda: any("refused" in x for x in silent.log))
+            await wait_until(lambda: silent.log.count("opened") > 1)
+            await wait_until(lambda: any("refused" in x for x in silent.log))
 
     asyncio.run(scenario())
 
@@ -233,9 +233,9 @@
     async def scenario():
         harness = FrontEndHarness(make_configuration(connections=16, message_kib=64, unread_kib=64, pace=0.1))
         async with harness.serving() as addresses, sasp_client(addresses, harness) as client:
-            await until(lambda: harness.follower_events)
+            await wait_until(lambda: harness.follower_events)
             await harness.advance_with_io(1)
-            await until(lambda: weights_by_port(client))
+            await wait_until(lambda: weights_by_port(client))
             manager, max_seen = harness.front_ends.manager, 0
             opened = []
             for k in range(1_000):
@@ -251,17 +251,19 @@
                 if k % 50 == 0:
                     await asyncio.sleep(0.01)
                     max_seen = max(max_seen, len(manager.connections))
-            await until(lambda: len(manager.connections) <= 16)
+            await wait_until(lambda: len(manager.connections) <= 16)
             assert max_seen <= 16 + 128  # accepted in this iteration, but not yet checked
             buffered = sum(len(x.decoder.buffer) for x in manager.connections.values())
             assert buffered <= 16 * 65_536
             # A connection closed with queued input must end its task; thousands of them used to pile up.
-            await until(lambda: len(asyncio.all_tasks()) <= 16 + 8)
+            await wait_until(lambda: len(asyncio.all_tasks()) <= 16 + 8)
             # The follower stays connected, and the Brain gets no event of the flood.
             assert client.log == ["opened"]
             assert not any(isinstance(e, gp.ProxyLeft) for e in harness.follower_events)
             await harness.advance_with_io(3)
-            await until(lambda: not [x for x in manager.connections.values() if x.session.follower is None])
+            await wait_until(
+                lambda: not [x for x in manager.connections.values() if x.session.follower is None]
+            )
             for _, writer in opened:
                 writer.transport.abort()
 
@@ -290,7 +292,7 @@
             # The next message is never completed.
             writer.write(whole[:20])
             connection = next(iter(harness.front_ends.manager.connections.values()))
-            await until(lambda: connection.session.partial_message_since is not None)
+            await wait_until(lambda: connection.session.partial_message_since is not None)
             await harness.advance_with_io(2.2)
             assert await reader.read() == b""
 
@@ -310,13 +312,15 @@
             )
             _, writer = await asyncio.open_connection(*addresses["sasp"])
             writer.write(whole + whole[:size])
-            await until(lambda: harness.follower_events)
+            await wait_until(lambda: harness.follower_events)
             writer.transport.abort()
-            await until(lambda: any(isinstance(e, gp.ProxyLeft) for e in harness.follower_events))
+            await wait_until(lambda: any(isinstance(e, gp.ProxyLeft) for e in harness.follower_events))
             async with sasp_client(addresses, harness) as client:
-                await until(lambda: sum(isinstance(e, gp.ProxyJoined) for e in harness.follower_events) == 2)
+                await wait_until(
+                    lambda: sum(isinstance(e, gp.ProxyJoined) for e in harness.follower_events) == 2
+                )
                 await harness.advance_with_io(1)
-                await until(lambda: weights_by_port(client))
+                await wait_until(lambda: weights_by_port(client))
 
     asyncio.run(scenario())
 
@@ -331,29 +335,31 @@
                 await stack.enter_async_context(sasp_client(addresses, harness, "abcdefghij", uid=f"lb{k}"))
                 for k in range(8)
             ]
-            await until(lambda: len(harness.follower_events) == 8)
+            await wait_until(lambda: len(harness.follower_events) == 8)
             await harness.advance_with_io(1.5)
-            await until(lambda: all(weights_by_port(c) for c in clients))
+            await wait_until(lambda: all(weights_by_port(c) for c in clients))
             before = [c.state_machine.serial for c in clients]
             started_at = harness.now
             for n in range(25):  # all weights change ten times per second
-                harness.last = [
+                harness.last_orders = [
                     gp.SetWeight(1, t, 0.5 + (n + k) % 10 / 10) for k, t in enumerate("abcdefghij")
                 ]
                 harness.now += 1_000
-                harness.front_ends.publish_snapshot(harness.now, [], harness.last)
+                harness.front_ends.publish_snapshot(harness.now, [], harness.last_orders)
                 harness.front_ends.manager.timers.run_due() if harness.front_ends.manager.timers else None
                 await asyncio.sleep(0.005)
             after = [c.state_machine.serial - b for c, b in zip(clients, before, strict=True)]
             assert max(after) <= 1 + (harness.now - started_at) // 10_000 and min(after) >= 1
-            native_weights = {harness.task_addresses.by_task[o.task][1]: o.weight for o in harness.last}
+            native_weights = {
+                harness.task_addresses.by_task[o.task][1]: o.weight for o in harness.last_orders
+            }
 
             def settled():
                 harness.now += 100
                 harness.front_ends.manager.timers.run_due() if harness.front_ends.manager.timers else None
                 return all(same_shares(weights_by_port(c), native_weights) for c in clients)
 
-            await until(settled)
+            await wait_until(settled)
 
     asyncio.run(scenario())
 
@@ -365,13 +371,13 @@
             harness.serving() as addresses,
             sasp_client(addresses, harness, groups=("charge",)) as client,
         ):
-            await until(lambda: any("refused: 0x11" in x for x in client.log))
+            await wait_until(lambda: any("refused: 0x11" in x for x in client.log))
             assert not harness.follower_events
         harness = FrontEndHarness(make_configuration(make_follower(retries="any"), pace=0.1))
         async with harness.serving() as addresses, sasp_client(addresses, harness) as client:
-            await until(lambda: harness.follower_events)
+            await wait_until(lambda: harness.follower_events)
             await harness.advance_with_io(1)
-            await until(lambda: weights_by_port(client))
+            await wait_until(lambda: weights_by_port(client))
 
     asyncio.run(scenario())
 
@@ -386,9 +392,9 @@
             for harness in harnesses:
                 addresses = await stack.enter_async_context(harness.serving())
                 clients.append(await stack.enter_async_context(sasp_client(addresses, harness)))
-                await until(lambda harness=harness: harness.follower_events)
+                await wait_until(lambda harness=harness: harness.follower_events)
                 await harness.advance_with_io(1.5)
-            await until(lambda: all(weights_by_port(client) for client in clients))
+            await wait_until(lambda: all(weights_by_port(client) for client in clients))
             port = harnesses[0].task_addresses.by_task["a"][1]
 
             def merged():
@@ -396,16 +402,16 @@
                 return {at[1]: w for at, w in weights.items()}
 
             assert port in merged() and len(merged()) == 6
-            harnesses[0].hear(changes(line("a", "draining")))
-            await until(lambda: not weights_by_port(clients[0])[port])
+            harnesses[0].handle(list_changes(task_line("a", "draining")))
+            await wait_until(lambda: not weights_by_port(clients[0])[port])
             # The task stays out over new weights and a reconnect at the manager that does not know the drain.
-            harnesses[1].sums["b"] = (10, 0, 500)
+            harnesses[1].reported_sums["b"] = (10, 0, 500)
             await harnesses[1].advance_with_io(5)
             assert weights_by_port(clients[1])[port] and port not in merged()
             next(iter(harnesses[1].front_ends.manager.connections.values())).writer.transport.abort()
-            await until(lambda: clients[1].log.count("opened") == 2)
+            await wait_until(lambda: clients[1].log.count("opened") == 2)
             await harnesses[1].advance_with_io(1)
-            await until(lambda: weights_by_port(clients[1])[port])
+            await wait_until(lambda: weights_by_port(clients[1])[port])
             assert port not in merged() and len(merged()) == 5
 
     asyncio.run(scenario())
@@ -427,9 +433,9 @@
             make_configuration(make_follower("lb", rate=1.0), make_follower("other", rate=1.0), pace=0.1)
         )
         async with harness.serving() as addresses, sasp_client(addresses, harness) as client:
-            await until(lambda: harness.follower_events)
+            await wait_until(lambda: harness.follower_events)
             await harness.advance_with_io(1.5)
-            await until(lambda: weights_by_port(client))
+            await wait_until(lambda: weights_by_port(client))
             original = Session.wanted_weights
 
             def faulty(self, table):
@@ -439,12 +445,12 @@
 
             monkeypatch.setattr(Session, "wanted_weights", faulty)
             async with sasp_client(addresses, harness, uid="other") as other:
-                await until(lambda: other.log.count("opened") > 1)
+                await wait_until(lambda: other.log.count("opened") > 1)
                 await harness.advance_with_io(1)
                 before = client.state_machine.serial
-                harness.sums["a"] = (10, 0, 600)
+                harness.reported_sums["a"] = (10, 0, 600)
                 await harness.advance_with_io(6)
-                await until(lambda: client.state_machine.serial > before)
+                await wait_until(lambda: client.state_machine.serial > before)
                 assert client.log == ["opened"] and not weights_by_port(other)
 
     asyncio.run(scenario())
@@ -452,21 +458,23 @@
 
 def test_error_in_the_snapshot_builder_closes_only_the_front_ends(monkeypatch):
     async def scenario():
-        play = FrontEndHarness(make_configuration(pace=0.1))
-        async with play.serving() as addresses, sasp_client(addresses, play) as client:
-            await until(lambda: play.follower_events)
-            await play.advance_with_io(1.5)
-            await until(lambda: weights_by_port(client))
+        harness = FrontEndHarness(make_configuration(pace=0.1))
+        async with harness.serving() as addresses, sasp_client(addresses, harness) as client:
+            await wait_until(lambda: harness.follower_events)
+            await harness.advance_with_io(1.5)
+            await wait_until(lambda: weights_by_port(client))
 
             def faulty(*_):
                 raise RuntimeError("a fault")
 
-            monkeypatch.setattr(play.front_ends.snapshot_builder, "update", faulty)
-            await play.advance_with_io(0.5)
-            await until(lambda: not play.front_ends.manager.connections)
-            await play.advance_with_io(3)
-            assert FIRST_FOLLOWER_PROXY_NUMBER not in play.brain.proxies and play.brain.tables[0].weights
-            await until(lambda: any("connect:" in x for x in client.log))
+            monkeypatch.setattr(harness.front_ends.snapshot_builder, "update", faulty)
+            await harness.advance_with_io(0.5)
+            await wait_until(lambda: not harness.front_ends.manager.connections)
+            await harness.advance_with_io(3)
+            assert (
+                FIRST_FOLLOWER_PROXY_NUMBER not in harness.brain.proxies and harness.brain.tables[0].weights
+            )
+            await wait_until(lambda: any("connect:" in x for x in client.log))
             assert weights_by_port(client)  # the last advice stays in force
 
     asyncio.run(scenario())
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -12,7 +12,7 @@
 import time
 
 import pytest
-from helper import StandIn, http, matches, shown, until
+from helper import ScriptedServer, assert_trace_matches, format_event, http_response, wait_until
 from peers import chunk, taken
 from test_codecs import written
 
@@ -54,7 +54,7 @@
 
 
 def rejection(code):
-    return http(
+    return http_response(
         f"<Response><Errors><Error><Code>{code}</Code></Error></Errors></Response>", "400 Bad Request"
     )
 
@@ -65,7 +65,7 @@
     "partly_accepted": [taken(2), taken(2), taken(1)],
     "rejected": [rejection("limit"), taken(2)],
     "reset": ["break", taken(2)],
-    "invalid_xml": [http("<Response"), taken(2)],
+    "invalid_xml": [http_response("<Response"), taken(2)],
     "invalid_http": [[b"whim\r\n\r\n"], taken(2)],
     "silent_within_body": [[b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n<a/>"], taken(2)],
     "silent": [None],
@@ -79,7 +79,7 @@
         monkeypatch.setattr(order_sender, "RESPONSE_TIMEOUT", SHORT_TIMEOUT)
 
     async def scenario():
-        async with StandIn(*script) as relay:
+        async with ScriptedServer(*script) as relay:
             sender = OrderSender(relay.address, ["read"], MarkTranslator(0), published.append)
             sender.submit(
                 [A, B]
@@ -88,26 +88,30 @@
             )
             sender.submit([C])
             running = asyncio.create_task(sender.run())
-            await until(
-                lambda: published and relay.said or len(relay.said) == (3 if name == "partly_accepted" else 2)
+            await wait_until(
+                lambda: (
+                    published
+                    and relay.requests
+                    or len(relay.requests) == (3 if name == "partly_accepted" else 2)
+                )
             )
             running.cancel()
-            return relay.said
+            return relay.requests
 
     requests = asyncio.run(scenario())
-    matches(f"order_sender_{name}", [*requests[:3], *map(shown, published)])
+    assert_trace_matches(f"order_sender_{name}", [*requests[:3], *map(format_event, published)])
 
 
 def test_orders_are_lost_without_doubt_if_the_connection_is_refused():
     published = []
 
     async def scenario():
-        async with StandIn() as relay:
+        async with ScriptedServer() as relay:
             pass
         sender = OrderSender(relay.address, ["read"], MarkTranslator(0), published.append)
         sender.submit([A])
         running = asyncio.create_task(sender.run())
-        await until(lambda: published)
+        await wait_until(lambda: published)
         running.cancel()
 
     asyncio.run(scenario())
@@ -115,7 +119,7 @@
 
 
 def rows(generation, reset, **states):
-    return http(
+    return http_response(
         json.dumps(
             {
                 "generation": generation,
@@ -139,27 +143,31 @@
     published, addresses = [], task_list_watch.TaskAddresses()
 
     async def scenario():
-        async with StandIn(*script) as agent:
+        async with ScriptedServer(*script) as agent:
             watch = task_list_watch.TaskListWatch(agent.address, addresses, published.append, must_ask)
             running = asyncio.create_task(watch.run())
             for n in range(asks):
                 watch.subscribe()
-                await until(lambda n=n: len(published) > n)
-            await until(lambda: len(published) >= count and len(agent.said) >= len(script))
+                await wait_until(lambda n=n: len(published) > n)
+            await wait_until(lambda: len(published) >= count and len(agent.requests) >= len(script))
             running.cancel()
-            return agent.said
+            return agent.requests
 
     requests = asyncio.run(scenario())
-    return [*requests[: len(script) + 1], *map(shown, published), f"addresses {addresses.by_task}"]
+    return [*requests[: len(script) + 1], *map(format_event, published), f"addresses {addresses.by_task}"]
 
 
 def test_the_full_list_is_followed_by_its_changes():
     full = rows(4, True, a="active", b="active")
     change = rows(6, False, a="left", c="leaving")
-    matches("discovery", follow_task_list([full, rows(5, False), change, rows(7, True, b="active")], count=3))
+    assert_trace_matches(
+        "discovery", follow_task_list([full, rows(5, False), change, rows(7, True, b="active")], count=3)
+    )
 
 
-@pytest.mark.parametrize("failure", ["break", http('{"generation":"'), http("", "500 Down"), None])
+@pytest.mark.parametrize(
+    "failure", ["break", http_response('{"generation":"'), http_response("", "500 Down"), None]
+)
 def test_a_failed_poll_is_retried(failure, monkeypatch):
     def with_timeout(seconds, step):
         """A step that sets the response timeout of the next poll."""
@@ -177,7 +185,7 @@
 
 def test_on_demand_a_failure_is_published_and_ends_the_subscription_until_the_next_watch_order():
     script = ["break", rows(4, False), "break"]
-    matches("discovery_on_demand", follow_task_list(script, must_ask=True, asks=2, count=3))
+    assert_trace_matches("discovery_on_demand", follow_task_list(script, must_ask=True, asks=2, count=3))
 
 
 NEWS = [b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"]
@@ -200,17 +208,17 @@
         ]
         script = [
             "break",
-            http("", "503 Away"),
+            http_response("", "503 Away"),
             [*NEWS, *first_stream, b"0\r\n\r\n"],
             [*NEWS, *second_stream],
         ]
-        async with StandIn(*script) as relay:
+        async with ScriptedServer(*script) as relay:
             running = asyncio.create_task(EventSubscription(relay.address, marks, published.append).run())
-            await until(lambda: len(published) == 6)
+            await wait_until(lambda: len(published) == 6)
             running.cancel()
 
     asyncio.run(scenario())
-    matches("event_stream_gap", list(map(shown, published)))
+    assert_trace_matches("event_stream_gap", list(map(format_event, published)))
 
 
 def test_an_event_above_the_size_limit_is_too_long(monkeypatch):
@@ -224,18 +232,18 @@
     monkeypatch.setattr(event_subscription, "SILENCE_TIMEOUT", SHORT_TIMEOUT)
 
     async def scenario():
-        async with StandIn(NEWS, NEWS) as relay:
+        async with ScriptedServer(NEWS, NEWS) as relay:
             running = asyncio.create_task(EventSubscription(relay.address, MarkTranslator(0), print).run())
-            await until(lambda: len(relay.said) >= 2)
+            await wait_until(lambda: len(relay.requests) >= 2)
             running.cancel()
 
     asyncio.run(scenario())
 
 
-LOAD_RESPONSE = http("TEXT inflight=7, queue=2, util=0.61")
+LOAD_RESPONSE = http_response("TEXT inflight=7, queue=2, util=0.61")
 PROBE_RESPONSES = {
     "ok": LOAD_RESPONSE,
-    "error": http("", "503 No"),
+    "error": http_response("", "503 No"),
     "reset": "break",
     "other": [b"whim\r\n\r\n"],
     "timeout": None,
@@ -248,16 +256,16 @@
     timeout = SHORT_TIMEOUT if outcome == "timeout" else LONG_TIMEOUT
 
     async def scenario():
-        async with StandIn(LOAD_RESPONSE, step, step) as task:
+        async with ScriptedServer(LOAD_RESPONSE, step, step) as task:
             addresses.by_task["s-a"] = task.address
             probes = prober.Prober(addresses, published.append, True, 8)
             for count, seconds in ((1, LONG_TIMEOUT), (2, timeout)):  # the second reuses the connection
                 probes.start(gp.SendProbe("s-a", int(seconds * 10_000)))
-                await until(lambda count=count: len(published) == count)
+                await wait_until(lambda count=count: len(published) == count)
         probes.start(gp.SendProbe("s-gone", 100))
         probes.start(gp.SendProbe("s-a", 600_000))
-        await until(lambda: len(published) == 4)
-        return task.said
+        await wait_until(lambda: len(published) == 4)
+        return task.requests
 
     requests = asyncio.run(scenario())
     assert [event.outcome for event in published] == ["ok", outcome, "unreachable", "unreachable"]
@@ -316,22 +324,22 @@
             first[1].write(b"b\r\ntelemetry site=a\r\nwhim\r\nhb\r\n" + STATS[:9])
             assert await first[0].readexactly(14) == b"hb_ok\r\nhb_ok\r\n"
             first[1].write(STATS[9:])
-            await until(lambda: len(published) == 1)
+            await wait_until(lambda: len(published) == 1)
             # A second collector replaces the first only once it reports. It may send long lines before that.
             second[1].write(b"telemetry site=a\r\ndetach id=1\r\n" + b"x" * 50_000)
             first[1].write(STATS)
-            await until(lambda: len(published) == 2 and server.ours.candidates)
+            await wait_until(lambda: len(published) == 2 and server.ours.candidates)
             third = await server.join(b"telemetry site=a\r\n")
             assert await second[0].read() == b""  # only one candidate per zone
             third[1].write(STATS)
-            await until(lambda: len(published) == 3)
+            await wait_until(lambda: len(published) == 3)
             assert await first[0].read() == b""  # a collector that reconnects replaces its old connection
             for _ in range(20):
                 await server.join()
             last = await server.join(b"hb\r\n")
             assert await last[0].readexactly(7) == b"hb_ok\r\n"
             third[1].write(STATS)
-            await until(lambda: len(published) == 4)
+            await wait_until(lambda: len(published) == 4)
             assert len(server.ours.peers) == 6
 
     asyncio.run(scenario())
@@ -394,7 +402,7 @@
     async def scenario():
         async with Address(published.append) as server:
             reader, writer = await server.join(b"telemetry site=a\r\n" + lines * 2)
-            await until(lambda: len(published) == 2)
+            await wait_until(lambda: len(published) == 2)
             writer.write(b"\x17\x03\r\n" * 3 + STATS)
             assert await ending(reader) == b""
 
@@ -446,7 +454,7 @@
             reader, _ = await server.join(b"telemetry site=a\r\n" + STATS)
             assert await ending(reader) == b""
             await server.join(b"telemetry site=b\r\n" + STATS)
-            await until(lambda: len(published) == 2)
+            await wait_until(lambda: len(published) == 2)
 
     asyncio.run(scenario())
 
@@ -459,7 +467,7 @@
     batches: list = dataclasses.field(default_factory=list)
 
     def handle(self, now, events):
-        self.batches.append(f"{now} " + ", ".join(map(shown, events)))
+        self.batches.append(f"{now} " + ", ".join(map(format_event, events)))
         return self.orders.pop(0) if self.orders else []
 
 
@@ -485,7 +493,7 @@
     for now[0] in (100, 101, 249, 300):
         decision_loop.run_batch()
     assert dispatched == [gp.SendProbe("s-a", 5), [A, B], "watch"]
-    matches("decision_loop", brain.batches)
+    assert_trace_matches("decision_loop", brain.batches)
 
 
 def test_a_pause_of_the_process_itself_is_not_a_timeout_of_the_peer():
@@ -550,8 +558,8 @@
     """A relay that accepts every request and lists these proxies as joined."""
     joined = [chunk(f"event: attach\ndata: id={p}&site=a&rps=2&new=1\n\n") for p in proxies]
     keep_alives = itertools.cycle([0.1, chunk(":\n\n")])
-    return StandIn(
-        always=lambda request: (
+    return ScriptedServer(
+        default_step=lambda request: (
             itertools.chain(NEWS, joined, keep_alives)
             if "events" in request
             else taken(request.count(";") + 1)
@@ -560,7 +568,9 @@
 
 
 def agent_of(generation):
-    return StandIn(rows(generation, True, a="active"), always=lambda request: [0.1, *rows(generation, False)])
+    return ScriptedServer(
+        rows(generation, True, a="active"), default_step=lambda request: [0.1, *rows(generation, False)]
+    )
 
 
 def test_a_reload_moves_to_the_new_addresses_without_repeated_events(tmp_path):
@@ -596,7 +606,7 @@
                     assert output[-1], f"the process ended before it printed {expected}"
 
             await logged("ProxyJoined(proxy=4")
-            await until(lambda: len(agent.said) > 1)
+            await wait_until(lambda: len(agent.requests) > 1)
             for text, expected in (
                 ("{", "reload_refused"),
                 ("{}", "missing required"),
@@ -610,14 +620,14 @@
                 process.send_signal(signal.SIGHUP)
             await logged("fields=listen")
             await logged("ProxyJoined(proxy=5")
-            await until(lambda: len(agent_2.said) > 1)
+            await wait_until(lambda: len(agent_2.requests) > 1)
             for writer in (*agent.writers, *relay.writers):
                 writer.transport.abort()
             await logged("ProbeAnswered")
             process.send_signal(signal.SIGHUP)
             process.send_signal(signal.SIGTERM)
             await logged("event=stopped")
-            assert agent_2.said[0] == "GET /discovery/hosts HTTP/1.1"
+            assert agent_2.requests[0] == "GET /discovery/hosts HTTP/1.1"
             assert sum("ProxyJoined" in line for line in output) == 2
             assert not any(word in line for line in output for word in ("InDoubt", "ProxyLeft", "lost"))
             return await process.wait()
@@ -629,17 +639,17 @@
     published = []
 
     async def scenario():
-        async with StandIn(taken(1)) as old, StandIn(taken(1)) as new:
+        async with ScriptedServer(taken(1)) as old, ScriptedServer(taken(1)) as new:
             sender = OrderSender(old.address, ["read"], MarkTranslator(0), published.append)
             running = asyncio.create_task(sender.run())
             sender.submit([A])
-            await until(lambda: old.said)
+            await wait_until(lambda: old.requests)
             sender.move(new.address)
-            await until(lambda: sender.next_connection)
+            await wait_until(lambda: sender.next_connection)
             sender.submit([B])
-            await until(lambda: new.said)
+            await wait_until(lambda: new.requests)
             running.cancel()
-            return [*old.said, "--", *new.said]
+            return [*old.requests, "--", *new.requests]
 
     requests = [line.rpartition("changes=")[2] for line in asyncio.run(scenario())]
     assert requests == ["put,1,s-a,1.0", "--", "put,1,s-b,1.0"]
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -3,7 +3,7 @@
 import pathlib
 
 import pytest
-from helper import matches
+from helper import assert_trace_matches
 
 from garnetpaddle import operator as op
 from garnetpaddle.net import configuration
@@ -70,7 +70,7 @@
     trace = []
     for name, text in INVALID_FILES.items():
         trace += [f"{name}:", *diagnostics(text, tmp_path / "operator.hcl")]
-    matches("operator_diagnostics", trace)
+    assert_trace_matches("operator_diagnostics", trace)
 
 
 def test_a_valid_file_and_the_example_are_accepted(tmp_path):
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -12,7 +12,7 @@
 import sys
 
 import pytest
-from helper import StandIn, http, until
+from helper import ScriptedServer, http_response, wait_until
 from peers import ENDED, Program, at, at_socket, chunk, held, taken
 from test_codecs import GIVEN, written
 from test_net import NEWS, A, B, agent_of, patient, relay_of, rows  # noqa: F401
@@ -43,7 +43,7 @@
             descriptors.append(os.open(path, os.O_WRONLY | os.O_NONBLOCK))
         return descriptors
 
-    await until(try_open)
+    await wait_until(try_open)
     return descriptors[0]
 
 
@@ -99,10 +99,10 @@
 
     async def scenario():
         async with agent_of(42) as agent, relay_of(4, 5) as relay:
-            relay.always, requests = without_call_answers(relay.always), relay.said
+            relay.default_step, requests = without_call_answers(relay.default_step), relay.requests
             path = written(tmp_path, ("discovery", at(agent)), ("store/address", at(relay)))
             async with Program(path) as program:
-                await until(lambda: any("POST" in request for request in requests))
+                await wait_until(lambda: any("POST" in request for request in requests))
                 program.signal(signal.SIGTERM)
                 result = await program.end()
             return result, [request for request in requests if "POST" in request]
@@ -182,16 +182,16 @@
     async def scenario():
         delayed_answer, gate = held(rows(51, False, a="leaving"))
         async with (
-            StandIn(rows(50, True, a="active"), delayed_answer) as old_peer,
-            StandIn(rows(50, True, a="active"), always=lambda _: None) as new_peer,
+            ScriptedServer(rows(50, True, a="active"), delayed_answer) as old_peer,
+            ScriptedServer(rows(50, True, a="active"), default_step=lambda _: None) as new_peer,
         ):
             watch = new_watch(old_peer, events)
             running = asyncio.create_task(watch.run())
-            await until(lambda: len(old_peer.said) == 2)
+            await wait_until(lambda: len(old_peer.requests) == 2)
             watch.move(new_peer.address)
-            await until(lambda: watch.agent.address == new_peer.address)
+            await wait_until(lambda: watch.agent.address == new_peer.address)
             gate.set()
-            await until(lambda: len(events) == 3)
+            await wait_until(lambda: len(events) == 3)
             running.cancel()
             await asyncio.sleep(0)
             return not watch.last_polls
@@ -214,11 +214,11 @@
             rows(48, True, a="active", b="active"),
             rows(51, False, a="leaving", b="left"),
         ]
-        async with StandIn(*script, always=lambda _: None) as agent:
+        async with ScriptedServer(*script, default_step=lambda _: None) as agent:
             running = asyncio.create_task(new_watch(agent, events, generation=41).run())
-            await until(lambda: len(agent.said) == 4)
+            await wait_until(lambda: len(agent.requests) == 4)
             running.cancel()
-            return agent.said
+            return agent.requests
 
     requests = asyncio.run(scenario())
     assert [re.findall(r"since=(\d+)", request) for request in requests] == [[], ["50"], ["48"], ["51"]]
@@ -239,17 +239,17 @@
         delayed_answer, gate = held(rows(50, False, a="leaving", b="left"))
         older = rows(48, True, a="active", b="active"), rows(49, False, b="leaving")
         async with (
-            StandIn(rows(50, True, a="leaving"), always=lambda _: None) as old_peer,
-            StandIn(*older, delayed_answer, always=lambda _: None) as new_peer,
+            ScriptedServer(rows(50, True, a="leaving"), default_step=lambda _: None) as old_peer,
+            ScriptedServer(*older, delayed_answer, default_step=lambda _: None) as new_peer,
         ):
             watch = new_watch(old_peer, events, generation=41)
             running = asyncio.create_task(watch.run())
-            await until(lambda: len(old_peer.said) == 2)
+            await wait_until(lambda: len(old_peer.requests) == 2)
             watch.move(new_peer.address)
-            await until(lambda: len(new_peer.said) == 3)
+            await wait_until(lambda: len(new_peer.requests) == 3)
             assert watch.agent.address == old_peer.address
             gate.set()
-            await until(lambda: watch.agent.address == new_peer.address and len(events) == 2)
+            await wait_until(lambda: watch.agent.address == new_peer.address and len(events) == 2)
             running.cancel()
 
     asyncio.run(scenario())
@@ -267,14 +267,14 @@
             rows(4, False, b="active"),
             rows(4, True, b="active"),
         ]
-        async with StandIn(*script, always=lambda _: None) as agent:
+        async with ScriptedServer(*script, default_step=lambda _: None) as agent:
             watch = new_watch(agent, events)
             watch.generation_check.clock = lambda: now[0]
             running = asyncio.create_task(watch.run())
             agent.script[2] = lambda: now.__setitem__(0, task_list_watch.MAX_STALE_TIME) or script[2]
-            await until(lambda: len(events) == 2)
+            await wait_until(lambda: len(events) == 2)
             running.cancel()
-            return agent.said
+            return agent.requests
 
     requests = asyncio.run(scenario())
     assert [event.update_type for event in events] == ["full", "full"] and events[1].lines[0].task == "b"
@@ -286,13 +286,13 @@
     events, original_poll, failed = [], task_list_watch.Agent.poll, []
 
     async def scenario():
-        async with StandIn(rows(50, True, a="active"), always=lambda _: None) as old_peer:
-            new_peer = StandIn("break", rows(50, True, a="active"), always=lambda _: None)
+        async with ScriptedServer(rows(50, True, a="active"), default_step=lambda _: None) as old_peer:
+            new_peer = ScriptedServer("break", rows(50, True, a="active"), default_step=lambda _: None)
             async with new_peer:
                 pass
             watch = new_watch(old_peer, events)
             running = asyncio.create_task(watch.run())
-            await until(lambda: len(old_peer.said) == 2)
+            await wait_until(lambda: len(old_peer.requests) == 2)
 
             async def poll_or_fail(agent):
                 if agent.address == new_peer.address and not failed:
@@ -303,11 +303,11 @@
 
             monkeypatch.setattr(task_list_watch.Agent, "poll", poll_or_fail)
             watch.move(new_peer.address)
-            await until(lambda: failed)
+            await wait_until(lambda: failed)
             assert watch.agent.address == old_peer.address  # the old agent stays in use meanwhile
             new_peer.script = new_peer.script[fault != "break" :]
             new_peer.server = await asyncio.start_server(new_peer.serve, *new_peer.address)
-            await until(lambda: watch.agent.address == new_peer.address and len(events) == 2)
+            await wait_until(lambda: watch.agent.address == new_peer.address and len(events) == 2)
             running.cancel()
             new_peer.server.close()
 
@@ -321,17 +321,19 @@
     async def scenario():
         full_list, (delayed_answer, gate) = rows(50, True, a="active"), held(rows(60, True, z="active"))
         async with (
-            StandIn(always=lambda request: None if "since" in request else full_list) as old_peer,
-            StandIn(delayed_answer) as new_peer,
+            ScriptedServer(
+                default_step=lambda request: None if "since" in request else full_list
+            ) as old_peer,
+            ScriptedServer(delayed_answer) as new_peer,
         ):
             watch = new_watch(old_peer, events)
             running = asyncio.create_task(watch.run())
-            await until(lambda: len(old_peer.said) == 2)
+            await wait_until(lambda: len(old_peer.requests) == 2)
             watch.move(new_peer.address)
-            await until(lambda: new_peer.said)
+            await wait_until(lambda: new_peer.requests)
             watch.move(old_peer.address)
             gate.set()
-            await until(lambda: len(events) == 2)
+            await wait_until(lambda: len(events) == 2)
             running.cancel()
             return watch.agent.address == old_peer.address
 
@@ -356,13 +358,13 @@
         writer.transport.abort() if answer[1] == "break" else writer.close()
 
     async def scenario():
-        async with StandIn(
-            rows(50, True, a="active"), partial_answer, rows(52, False), always=lambda _: None
+        async with ScriptedServer(
+            rows(50, True, a="active"), partial_answer, rows(52, False), default_step=lambda _: None
         ) as agent:
             running = asyncio.create_task(new_watch(agent, events).run())
-            await until(lambda: len(agent.said) == 4)
+            await wait_until(lambda: len(agent.requests) == 4)
             running.cancel()
-            return agent.said[2]
+            return agent.requests[2]
 
     next_request = asyncio.run(scenario())
     assert [event.lines[0].state for event in events] == ["ready"] + ["draining"] * is_applied
@@ -398,9 +400,9 @@
     """A subscription to a stream that has received these events, and its running task."""
     subscription = EventSubscription(relay.address, MarkTranslator(0), events.append)
     running = asyncio.create_task(subscription.run())
-    await until(lambda: stream.writers)
+    await wait_until(lambda: stream.writers)
     stream.write_events(*initial_events)
-    await until(lambda: len(events) == len(initial_events))
+    await wait_until(lambda: len(events) == len(initial_events))
     return subscription, running
 
 
@@ -417,14 +419,14 @@
     events, old_stream, new_stream = [], ScriptedStream(), ScriptedStream()
 
     async def scenario():
-        async with StandIn(old_stream) as old_peer, StandIn(new_stream) as new_peer:
+        async with ScriptedServer(old_stream) as old_peer, ScriptedServer(new_stream) as new_peer:
             subscription, running = await start_subscription(
                 events, old_stream, old_peer, attach_event(4), attach_event(6)
             )
             subscription.move(new_peer.address)
-            await until(lambda: new_stream.writers)
+            await wait_until(lambda: new_stream.writers)
             new_stream.write_events(attach_event(5), attach_event(6), KEEPALIVE)
-            await until(
+            await wait_until(
                 lambda: subscription.membership.successor and subscription.membership.successor.complete
             )
             assert subscription.address == old_peer.address
@@ -432,8 +434,8 @@
                 old_stream.write_events(attach_event(5), PROXY_4_LEFT, KEEPALIVE)
             else:
                 old_stream.writers[0].transport.abort()
-            await until(lambda: len(events) == 2 + len(expected))
-            await until(lambda: subscription.address == new_peer.address)
+            await wait_until(lambda: len(events) == 2 + len(expected))
+            await wait_until(lambda: subscription.address == new_peer.address)
             running.cancel()
 
     asyncio.run(scenario())
@@ -462,9 +464,9 @@
             writer.transport.abort()
 
         async with (
-            StandIn(old_stream, accept_after_gate, accept_after_gate) as old_peer,
-            StandIn(
-                new_stream if answers else abort_connection, always=lambda _: abort_connection
+            ScriptedServer(old_stream, accept_after_gate, accept_after_gate) as old_peer,
+            ScriptedServer(
+                new_stream if answers else abort_connection, default_step=lambda _: abort_connection
             ) as new_peer,
         ):
             subscription, running = await start_subscription(
@@ -472,17 +474,17 @@
             )
             old_stream.writers[0].transport.abort()
             # The subscription has reconnected to the old address, which does not answer yet.
-            await until(lambda: len(old_peer.said) == 2)
+            await wait_until(lambda: len(old_peer.requests) == 2)
             subscription.move(new_peer.address)
-            await until(lambda: new_peer.said)
+            await wait_until(lambda: new_peer.requests)
             if answers:
-                await until(lambda: new_stream.writers)
+                await wait_until(lambda: new_stream.writers)
                 new_stream.write_events(attach_event(6), KEEPALIVE)
             else:
                 gate.set()
-                await until(lambda: len(old_stream.writers) == 2)
+                await wait_until(lambda: len(old_stream.writers) == 2)
                 old_stream.write_events(attach_event(6), KEEPALIVE)
-            await until(lambda: len(events) == 5)
+            await wait_until(lambda: len(events) == 5)
             final_address_is_expected = subscription.address == (new_peer if answers else old_peer).address
             running.cancel()
             return final_address_is_expected
@@ -506,7 +508,7 @@
     )
 
     async def scenario():
-        async with StandIn(old_stream) as old_peer, StandIn(new_stream) as new_peer:
+        async with ScriptedServer(old_stream) as old_peer, ScriptedServer(new_stream) as new_peer:
             subscription, running = await start_subscription(events, old_stream, old_peer, attach_event(4))
 
             async def follow_or_fail(self, address):
@@ -517,7 +519,7 @@
 
             monkeypatch.setattr(EventSubscription, "follow", follow_or_fail)
             subscription.move(new_peer.address)
-            await until(lambda: new_stream.writers)
+            await wait_until(lambda: new_stream.writers)
             running.cancel()
 
     asyncio.run(scenario())
@@ -529,22 +531,22 @@
     events = []
 
     async def scenario():
-        async with StandIn(always=lambda request: taken(request.count(";") + 1)) as old_peer:
+        async with ScriptedServer(default_step=lambda request: taken(request.count(";") + 1)) as old_peer:
             with unreachable_address(listens=fault == "silent") as new_peer:
                 sender = OrderSender(old_peer.address, ["read"], MarkTranslator(0), events.append)
                 running = asyncio.create_task(sender.run())
                 sender.submit([A])
-                await until(lambda: len(old_peer.said) == 1)
+                await wait_until(lambda: len(old_peer.requests) == 1)
                 sender.move(new_peer.getsockname())
                 sender.submit([B])
-                await until(lambda: len(old_peer.said) == 2)
+                await wait_until(lambda: len(old_peer.requests) == 2)
                 old_peer.writers[0].transport.abort()  # the reconnect does not use the new address either
-                await until(lambda: not sender.connection.is_usable())
+                await wait_until(lambda: not sender.connection.is_usable())
                 sender.submit([A, B])
-                await until(lambda: len(old_peer.said) == 3)
+                await wait_until(lambda: len(old_peer.requests) == 3)
                 sender.move_task.cancel()
                 running.cancel()
-                return [request.rpartition("changes=")[2] for request in old_peer.said]
+                return [request.rpartition("changes=")[2] for request in old_peer.requests]
 
     assert asyncio.run(scenario()) == ["put,1,s-a,1.0", "put,1,s-b,1.0", "put,1,s-a,1.0;put,1,s-b,1.0"]
     assert events == []
@@ -575,13 +577,13 @@
         writer.close()
 
     async def scenario():
-        async with StandIn(answer_and_close, taken(1)) as relay:
+        async with ScriptedServer(answer_and_close, taken(1)) as relay:
             sender = OrderSender(relay.address, ["read"], MarkTranslator(0), events.append)
             running = asyncio.create_task(sender.run())
             sender.submit([A])
-            await until(lambda: sender.connection and not sender.connection.is_usable())
+            await wait_until(lambda: sender.connection and not sender.connection.is_usable())
             sender.submit([B])
-            await until(lambda: len(relay.said) == 2)
+            await wait_until(lambda: len(relay.requests) == 2)
             running.cancel()
             return len(relay.writers)
 
@@ -611,7 +613,7 @@
     connections, original_open = [], asyncio.open_connection
 
     async def scenario():
-        async with StandIn() as peer:
+        async with ScriptedServer() as peer:
 
             async def open_then_cancel(*address, **options):
                 connections.append(await original_open(*address, **options))
@@ -641,14 +643,14 @@
     events, addresses = [], task_list_watch.TaskAddresses()
 
     async def scenario():
-        async with StandIn(http("TEXT inflight=1"), http("TEXT inflight=2")) as task:
+        async with ScriptedServer(http_response("TEXT inflight=1"), http_response("TEXT inflight=2")) as task:
             addresses.by_task |= {"s-old": task.address}
             task_prober = prober.Prober(addresses, events.append, True, 8)
             task_prober.start(gp.SendProbe("s-old", 600_000))
-            await until(lambda: len(events) == 1)
+            await wait_until(lambda: len(events) == 1)
             addresses.by_task = {"s-new": task.address}
             task_prober.start(gp.SendProbe("s-new", 600_000))
-            await until(lambda: len(events) == 2)
+            await wait_until(lambda: len(events) == 2)
             return len(task.writers)
 
     assert asyncio.run(scenario()) == 2
@@ -669,7 +671,7 @@
             changes = ("discovery", at(agent)), ("store/address", at(relay)), ("listen", address)
             async with Program(written(tmp_path, *changes)) as program:
                 await program.logged("event=news_open")
-                await until(lambda: any("attach,4" in request for request in relay.said))
+                await wait_until(lambda: any("attach,4" in request for request in relay.requests))
 
                 def descriptors():
                     return len(os.listdir(f"/proc/{program.made.pid}/fd"))
@@ -684,15 +686,17 @@
                 writer.write(b"telemetry site=a\r\n")
                 await program.logged("event=collector_joined")
                 for peer in (agent, relay):  # reconnects during the flood
-                    request_count = len(peer.said)
+                    request_count = len(peer.requests)
                     for connection in peer.writers:
                         connection.transport.abort()
-                    await until(lambda peer=peer, request_count=request_count: len(peer.said) > request_count)
+                    await wait_until(
+                        lambda peer=peer, request_count=request_count: len(peer.requests) > request_count
+                    )
                 assert descriptors() <= 64
                 for _, unknown_writer in unknown_peers:
                     unknown_writer.transport.abort()
                 writer.transport.abort()
-                await until(lambda: descriptors() <= count_before)
+                await wait_until(lambda: descriptors() <= count_before)
                 program.signal(signal.SIGTERM)
                 return await program.end()
 
--- a/tests/test_rehearsal.py
+++ b/tests/test_rehearsal.py
@@ -7,7 +7,7 @@
 import sys
 
 import pytest
-from helper import matches
+from helper import assert_trace_matches
 
 from garnetpaddle import interface as gp
 from garnetpaddle.operator import InvalidFileError
@@ -417,7 +417,7 @@
     scheduler.run(21_000)
     rules.check({4: proxy}, 0.0, True)
     rules.record_cold_overload("cold-1")
-    matches(
+    assert_trace_matches(
         "rehearsal_rules",
         [
             f"{b.at / 10_000:.2f} {b.rule}: {b.who}, {b.why}; after {', '.join(b.orders)}"
@@ -473,7 +473,7 @@
         with pytest.raises(InvalidFileError) as caught:
             read(str(path))
         trace += [f"{name}:", *(str(f).replace(f"{tmp_path}{os.sep}", "") for f in caught.value.diagnostics)]
-    matches("rehearsal_diagnostics", trace)
+    assert_trace_matches("rehearsal_diagnostics", trace)
 
 
 def test_fields_that_a_script_leaves_out_come_from_its_include(tmp_path):
--- a/tests/test_sasp.py
+++ b/tests/test_sasp.py
@@ -3,7 +3,7 @@
 import re
 
 import pytest
-from helper import changes, line, matches
+from helper import assert_trace_matches, list_changes, task_line
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
@@ -240,7 +240,7 @@
         self.registry = SessionRegistry(GROUPS, followers, lease_specs, grace_period, 150_000, started_at)
         self.sessions, self.written, self.hold_acks, self.published_events = {}, {}, {}, []
         self.apply_batch(
-            [gp.TaskListReceived("full", tuple(map(line, TASKS)))],
+            [gp.TaskListReceived("full", tuple(map(task_line, TASKS)))],
             [gp.SetWeight(1, k, 1.0) for k in TASKS] if with_weights else [],
             ADDRESSES,
         )
@@ -414,7 +414,7 @@
     harness.receive(GET_WEIGHTS)
     harness.receive(m.Deregister(4, True, 1, ()))
     harness.receive(GET_WEIGHTS)
-    matches("sasp_registers", harness.trace)
+    assert_trace_matches("sasp_registers", harness.trace)
 
 
 def test_pushes_are_rate_limited_and_carry_the_newest_weights():
@@ -437,7 +437,7 @@
     harness.hold_acks[1] = False
     harness.acknowledge()
     harness.advance(2)
-    matches("sasp_push", harness.trace)
+    assert_trace_matches("sasp_push", harness.trace)
 
 
 def test_drain_is_pushed_at_once_and_must_be_confirmed():
@@ -445,11 +445,11 @@
     harness.advance(1.5)
     harness.apply_batch([], [gp.SetWeight(1, "a", 1.5)])
     harness.note("a drains within the update interval; the client sends a message")
-    harness.apply_batch([changes(line("a", "draining"))])
+    harness.apply_batch([list_changes(task_line("a", "draining"))])
     harness.receive(lb_state())
     harness.advance(5)
     harness.note("b is gone; the update is acknowledged, the client sends no message")
-    harness.apply_batch([changes(line("b", "gone"))])
+    harness.apply_batch([list_changes(task_line("b", "gone"))])
     harness.advance(5)
     harness.note("it reconnects at once, and is refused")
     harness.open(2)
@@ -458,7 +458,7 @@
     harness.note("it sends a message after reading a reply: admitted, and a and b are sent as closed")
     harness.receive(register(1, 2, 3, id=6), 2)
     harness.receive(lb_state(), 2)
-    matches("sasp_drain", harness.trace)
+    assert_trace_matches("sasp_drain", harness.trace)
 
 
 @pytest.mark.parametrize("fault", ["no_read", "half_a_message"])
@@ -471,12 +471,12 @@
         harness.dispatch(1, InputProcessed(True))
     harness.note("a drains")
     drained_at = harness.now
-    harness.apply_batch([changes(line("a", "draining"))])
+    harness.apply_batch([list_changes(task_line("a", "draining"))])
     harness.advance(5)
     assert 1 not in harness.sessions and any(isinstance(e, gp.ProxyLeft) for e in harness.published_events)
     closed_at = next(float(x.split()[0]) for x in harness.trace if "closes" in x)
     assert closed_at < drained_at / 10_000 - 100 + 3.0
-    matches(f"sasp_{fault}", harness.trace)
+    assert_trace_matches(f"sasp_{fault}", harness.trace)
 
 
 def test_poll_interval_fits_the_grace_period():
@@ -487,7 +487,7 @@
     harness.bind()
     harness.receive(GET_WEIGHTS)
     harness.note("a drains between two polls")
-    harness.apply_batch([changes(line("a", "draining"))])
+    harness.apply_batch([list_changes(task_line("a", "draining"))])
     harness.advance(3)
     harness.receive(GET_WEIGHTS)
     harness.advance(3)
@@ -495,18 +495,18 @@
     harness.receive(GET_WEIGHTS)
     harness.advance(3)
     harness.note("b drains, and no further poll arrives")
-    harness.apply_batch([changes(line("b", "draining"))])
+    harness.apply_batch([list_changes(task_line("b", "draining"))])
     harness.advance(20)
-    matches("sasp_polls", harness.trace)
+    assert_trace_matches("sasp_polls", harness.trace)
 
 
 def test_drained_task_stays_out_over_a_reconnect():
     harness = registered_balancer()
     harness.advance(2)
-    harness.apply_batch([changes(line("a", "draining"))])
+    harness.apply_batch([list_changes(task_line("a", "draining"))])
     harness.receive(lb_state())
     harness.note("an outdated order for a, a lost connection, a new connection")
-    harness.apply_batch([changes(line("a", "gone"))], [gp.SetWeight(1, "a", 1.0)])
+    harness.apply_batch([list_changes(task_line("a", "gone"))], [gp.SetWeight(1, "a", 1.0)])
     harness.dispatch(1, ConnectionLost("reset"))
     harness.sessions.pop(1)
     harness.now += 40_000
@@ -516,7 +516,7 @@
     harness.note("without a table only a is sent; then it is bound")
     harness.bind()
     harness.advance(2)
-    matches("sasp_drained_task_stays_out", harness.trace)
+    assert_trace_matches("sasp_drained_task_stays_out", harness.trace)
 
 
 def test_restarted_manager_sends_nothing_before_its_first_table():
@@ -531,7 +531,7 @@
     harness.note("the first table with weights")
     harness.apply_batch([], [gp.SetWeight(1, "a", 1.0), gp.SetWeight(1, "b", 1.0)])
     harness.advance(1)
-    matches("sasp_restart", harness.trace)
+    assert_trace_matches("sasp_restart", harness.trace)
 
 
 REFUSED = {
@@ -596,7 +596,7 @@
         harness.receive(message)
     trace += ["after registration:", *(x[9:] for x in harness.trace)]
     assert len(harness.sessions[1].groups[b"status"].members) == 3
-    matches("sasp_refused", trace)
+    assert_trace_matches("sasp_refused", trace)
 
 
 def test_mutating_route_is_granted_only_without_retries():
@@ -607,7 +607,7 @@
             harness.apply_batch([], [gp.SetAdmission(1, (0, 1, 2), 1.0, tries)])
             harness.open().receive(register(1, group="charge"))
             trace += [f"follower retries: {retries}; Brain allows: {tries}", *(x[9:] for x in harness.trace)]
-    matches("sasp_mutating_route", trace)
+    assert_trace_matches("sasp_mutating_route", trace)
 
 
 def test_route_that_is_not_admitted_is_quiesced():
@@ -618,7 +618,7 @@
     harness.advance(2)
     harness.apply_batch([], [gp.SetAdmission(1, (2,), 0.5, "none")])
     harness.advance(2)
-    matches("sasp_route_not_admitted", harness.trace)
+    assert_trace_matches("sasp_route_not_admitted", harness.trace)
 
 
 def test_members_register_and_quiesce_themselves():
@@ -646,7 +646,7 @@
     harness.advance(1)
     harness.receive(self_registration, 2)
     harness.advance(1)
-    matches("sasp_self_registration", harness.trace)
+    assert_trace_matches("sasp_self_registration", harness.trace)
 
 
 def test_two_balancers_of_which_one_disconnects():
@@ -656,7 +656,7 @@
     harness.receive(register(1, 2, uid="LB2"), 2)
     harness.bind(FIRST_FOLLOWER_PROXY_NUMBER, FIRST_FOLLOWER_PROXY_NUMBER + 1)
     harness.advance(2)
-    harness.apply_batch([changes(line("a", "draining"))])
+    harness.apply_batch([list_changes(task_line("a", "draining"))])
     harness.receive(lb_state(), 1)
     harness.receive(lb_state(uid="LB2"), 2)
     harness.note("the first disconnects; another connection registers under its UID")
@@ -664,7 +664,7 @@
     harness.sessions.pop(1)
     harness.open(3)
     harness.receive(register(2, 3), 3)
-    matches("sasp_two_balancers", harness.trace)
+    assert_trace_matches("sasp_two_balancers", harness.trace)
 
 
 def test_lease_takeover_after_the_first_connection_is_silent():
@@ -673,7 +673,7 @@
     harness.receive(register(1, 2, 3), 2)
     harness.now += 35_000
     harness.receive(register(1, 2, 3), 2)
-    matches("sasp_takeover", harness.trace)
+    assert_trace_matches("sasp_takeover", harness.trace)
 
 
 def test_unregistered_flooding_and_invalid_clients_are_closed():
@@ -684,7 +684,7 @@
         harness.dispatch(4, MessageReceived(GET_WEIGHTS))
     harness.trace = [x for x in harness.trace if "unknown" not in x and "weights" not in x and "why" not in x]
     harness.advance(3)
-    matches("sasp_invalid_clients", harness.trace)
+    assert_trace_matches("sasp_invalid_clients", harness.trace)
 
 
 def test_time_in_the_input_queue_does_not_count_as_client_silence():
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -8,7 +8,7 @@
 import sys
 
 import pytest
-from helper import until
+from helper import wait_until
 
 from benchmarks.scaling import fake_peers, fit, http_server, measure, report, sweep, workload
 from benchmarks.scaling.brain_turn import VirtualDay
@@ -150,7 +150,7 @@
         await discovery.open()
         reader, writer = await asyncio.open_connection("127.0.0.1", discovery.port)
         writer.write(b"GET /discovery/hosts?since=1&timeout_ms=60000 HTTP/1.1\r\nHost: x\r\n\r\n")
-        await until(lambda: discovery.tasks.waiting_watches)
+        await wait_until(lambda: discovery.tasks.waiting_watches)
         assert discovery.counter.messages_to_assigner == 0
         discovery.restart_all([workload.task_name(5)])
         head = await reader.readuntil(b"\r\n\r\n")
--- a/tests/test_snapshots.py
+++ b/tests/test_snapshots.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from helper import Play, changes, line, matches
+from helper import BrainHarness, assert_trace_matches, list_changes, task_line
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
@@ -32,7 +32,7 @@
 
 
 LINE_A, LINE_B = gp.SetWeight(1, "a", 1.0), gp.SetWeight(1, "b", 2.0)
-READY = gp.TaskListReceived("full", (line("a"), line("b")))
+READY = gp.TaskListReceived("full", (task_line("a"), task_line("b")))
 
 
 def test_orders_lost_and_in_doubt():
@@ -49,7 +49,7 @@
     recorder.step("the removal may not have been executed", [gp.OrdersLost((gone,), True)])
     recorder.step("it was not executed: b stays removed", [gp.OrdersLost((gone,), False)])
     new = gp.SetWeight(1, "c", 1.0)
-    recorder.step("new line for c", [changes(line("c"))], [new])
+    recorder.step("new line for c", [list_changes(task_line("c"))], [new])
     recorder.step("it is in doubt: never in effect", [gp.OrdersLost((new,), True)])
     first, second = gp.SetWeight(1, "a", 4.0), gp.SetWeight(1, "a", 5.0)
     recorder.step("two orders of one line", [], [first, second])
@@ -58,17 +58,17 @@
     )
     recorder.step("all orders are in doubt", [gp.ChannelStateUnknown()])
     recorder.step("a new table, and a bind to it", [], [gp.SetWeight(2, "a", 1.5), gp.BindProxy(1, 2)])
-    matches("snapshot_lost", recorder.trace)
+    assert_trace_matches("snapshot_lost", recorder.trace)
 
 
 def test_tasks_that_leave_the_list_are_in_no_table():
     recorder = BuilderTrace()
     recorder.step("two lines", [READY], [LINE_A, LINE_B, gp.BindProxy(1, 1)])
-    snapshot = recorder.step("a drains, before any order for it", [changes(line("a", "draining"))])
+    snapshot = recorder.step("a drains, before any order for it", [list_changes(task_line("a", "draining"))])
     assert snapshot.not_ready_since == {"a": 20}
-    recorder.step("the list drops a: it stays draining", [changes(line("a", "gone"))])
-    recorder.step("a starts anew", [changes(line("a", started=5.0))])
-    recorder.step("a full list without b", [gp.TaskListReceived("full", (line("a", started=5.0),))])
+    recorder.step("the list drops a: it stays draining", [list_changes(task_line("a", "gone"))])
+    recorder.step("a starts anew", [list_changes(task_line("a", started=5.0))])
+    recorder.step("a full list without b", [gp.TaskListReceived("full", (task_line("a", started=5.0),))])
     recorder.step(
         "b is withdrawn and let back", [], [gp.WithdrawTask("b", True), gp.WithdrawTask("b", False)]
     )
@@ -77,7 +77,7 @@
         "that order is lost: a stays withdrawn", [gp.OrdersLost((gp.WithdrawTask("a", True),), True)]
     )
     recorder.step("the proxy leaves", [gp.ProxyLeft(1)])
-    matches("snapshot_list", recorder.trace)
+    assert_trace_matches("snapshot_list", recorder.trace)
 
 
 def test_a_drop_from_the_list_is_ignored_where_it_does_not_bind():
@@ -85,7 +85,7 @@
     recorder.step("two lines", [READY], [LINE_A, LINE_B, gp.BindProxy(1, 1)])
     snapshot = recorder.step("the list drops both", [gp.TaskListReceived("full", ())])
     assert not snapshot.not_ready_since and snapshot.usable_weights(1) == {"a": 1.0, "b": 2.0}
-    snapshot = recorder.step("one drains", [changes(line("a", "draining"))])
+    snapshot = recorder.step("one drains", [list_changes(task_line("a", "draining"))])
     assert list(snapshot.not_ready_since) == ["a"]
 
 
@@ -117,7 +117,7 @@
 def test_closed_tasks_and_their_lines_are_removed_after_the_retention_time():
     builder = SnapshotBuilder()
     builder.update(0, [READY], [LINE_A, LINE_B], {"a": ("127.0.0.1", 5)})
-    builder.update(1, [changes(line("a", "draining"))], [gp.SetWeight(1, "a", 0.0)])
+    builder.update(1, [list_changes(task_line("a", "draining"))], [gp.SetWeight(1, "a", 0.0)])
     assert "a" in builder.update(NOT_READY_TASK_RETENTION, [], []).tasks
     snapshot = builder.update(NOT_READY_TASK_RETENTION + 1, [], [])
     assert (
@@ -136,7 +136,7 @@
 @given(st.lists(st.lists(ORDERS, max_size=6), max_size=12))
 def test_without_losses_snapshots_match_the_tables_of_the_relay(replies):
     builder, tables, bound, withdrawn = SnapshotBuilder(), {}, {}, set()
-    builder.update(0, [gp.TaskListReceived("full", tuple(map(line, "abc")))], [])
+    builder.update(0, [gp.TaskListReceived("full", tuple(map(task_line, "abc")))], [])
     for orders in replies:
         snapshot = builder.update(1, [], orders)
         for o in orders:
@@ -160,7 +160,7 @@
     builder, tasks = SnapshotBuilder(), [f"t{k}" for k in range(120)]
     orders = [gp.SetWeight(n, k, 1.0 + n) for n in range(1, 5) for k in tasks]
     orders += [gp.BindProxy(p, 1 + p % 4) for p in range(400)]
-    snapshot = builder.update(0, [gp.TaskListReceived("full", tuple(map(line, tasks)))], orders)
+    snapshot = builder.update(0, [gp.TaskListReceived("full", tuple(map(task_line, tasks)))], orders)
     assert len(snapshot.tables) == 4 and all(len(snapshot.usable_weights(p)) == 120 for p in range(400))
     # Once all proxies are bound to a new table, the old tables are removed.
     orders = [gp.SetWeight(5, "t0", 1.0)] + [gp.BindProxy(p, 5) for p in range(400)]
@@ -172,25 +172,25 @@
     """The lines of the Brain's table and of the snapshot are equal after every batch, while a task drains and
     a task and a proxy join."""
 
-    class PlayWithBuilder(Play):
+    class HarnessWithBuilder(BrainHarness):
         builder = None
 
-        def hear(self, *events):
-            super().hear(*events)
+        def handle(self, *events):
+            super().handle(*events)
             self.builder = self.builder or SnapshotBuilder()
-            snapshot = self.builder.update(self.now, events, self.last)
+            snapshot = self.builder.update(self.now, events, self.last_orders)
             table = snapshot.tables.get(self.brain.tables[0].number)
             lines = {k: round(w, 3) for k, w in self.brain.tables[0].weights.items() if w}
             assert (dict(table.lines) if table else {}) == lines
 
-    play = PlayWithBuilder()
-    play.sums["a"] = (10, 0, 400)
-    play.run(12)
-    play.hear(changes(line("b", "draining")))
-    play.run(3)
-    play.hear(changes(line("e", started=16.0)), gp.ProxyJoined(7, 5.0, True, "z"))
-    play.run(20)
-    assert play.builder.snapshot.usable_weights(7) == play.builder.snapshot.usable_weights(0)
+    harness = HarnessWithBuilder()
+    harness.reported_sums["a"] = (10, 0, 400)
+    harness.advance(12)
+    harness.handle(list_changes(task_line("b", "draining")))
+    harness.advance(3)
+    harness.handle(list_changes(task_line("e", started=16.0)), gp.ProxyJoined(7, 5.0, True, "z"))
+    harness.advance(20)
+    assert harness.builder.snapshot.usable_weights(7) == harness.builder.snapshot.usable_weights(0)
 
 
 def test_one_publication_wakes_all_waiters():
--- a/tests/test_task_registry.py
+++ b/tests/test_task_registry.py
@@ -6,7 +6,7 @@
 import sys
 
 import pytest
-from helper import TERMS, line
+from helper import PARAMETERS, task_line
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
@@ -26,18 +26,18 @@
 def make_registry(names):
     registry = TaskRegistry()
     for name in names:
-        registry.register(Task(line(name), 1.0, 0))
-        registry.update_line(0, line(name))
+        registry.register(Task(task_line(name), 1.0, 0))
+        registry.update_line(0, task_line(name))
     return registry
 
 
 def test_ready_tasks_keep_the_order_in_which_they_were_first_named():
     registry = make_registry("bca")
     assert ids(registry.ready()) == "bca"
-    registry.update_line(1, line("c", "draining"))
+    registry.update_line(1, task_line("c", "draining"))
     assert ids(registry.ready()) == "ba" and list(registry.leaving) == ["c"]
-    registry.register(Task(line("c", started=1), 1.0, 0))
-    registry.update_line(2, line("c", started=1))
+    registry.register(Task(task_line("c", started=1), 1.0, 0))
+    registry.update_line(2, task_line("c", started=1))
     assert ids(registry.ready()) == "bca" and not registry.leaving and registry.changed_at["c"] == 2
 
 
@@ -46,7 +46,7 @@
     first = registry.ready()
     registry.observe(registry.tasks["b"])
     assert registry.ready() is first
-    registry.update_line(1, line("a", "gone"))
+    registry.update_line(1, task_line("a", "gone"))
     assert registry.ready() is not first
 
 
@@ -60,7 +60,7 @@
     assert (
         ids(registry.observed()) == "abc" and list(registry.leaving) == ["b"] and registry.tasks["b"].unlisted
     )
-    registry.update_line(4, line("a", "draining"))
+    registry.update_line(4, task_line("a", "draining"))
     registry.remove("a")
     assert ids(registry.observed()) == "bc" and set(registry.tasks) == set(registry.lines) == {"b", "c"}
     assert list(registry.leaving) == ["b"]
@@ -69,17 +69,17 @@
 def test_a_restarted_task_is_unobserved_until_there_is_information_on_it():
     registry = make_registry("ab")
     registry.observe(registry.tasks["a"])
-    registry.register(Task(line("a", started=5), 1.0, 0))
-    registry.update_line(1, line("a", started=5))
+    registry.register(Task(task_line("a", started=5), 1.0, 0))
+    registry.update_line(1, task_line("a", started=5))
     assert registry.observed() == []
 
 
 def test_shares_are_grouped_by_kind_for_evaluated_tasks_only():
     registry = TaskRegistry()
     for name, kind, share, headroom in (("a", "m", 1.5, 1.0), ("b", "s", 0.5, 1.0), ("c", "s", 9.0, 0.0)):
-        registry.register(Task(line(name, kind=kind), share, 0))
+        registry.register(Task(task_line(name, kind=kind), share, 0))
         registry.tasks[name].headroom = headroom
-        registry.update_line(0, line(name, kind=kind))
+        registry.update_line(0, task_line(name, kind=kind))
     assert registry.shares() == {"m": [1.5], "s": [0.5]}
 
 
@@ -109,15 +109,15 @@
     def __init__(self, tasks):
         self.names = [f"t{number:05}" for number in range(tasks)]
         assigners = max(tasks // PROBED, 1)
-        terms = dataclasses.replace(
-            TERMS,
+        parameters = dataclasses.replace(
+            PARAMETERS,
             proxies=PROXIES * assigners,
             assigners=assigners,
             channel_lines=20.0,
             failures_before_avoidance=8,
         )
-        self.brain, self.now, self.pending_events = Brain(terms, 7), 0, []
-        self.handle_batch(gp.TaskListReceived("full", tuple(line(name) for name in self.names)))
+        self.brain, self.now, self.pending_events = Brain(parameters, 7), 0, []
+        self.handle_batch(gp.TaskListReceived("full", tuple(task_line(name) for name in self.names)))
         self.handle_batch(*(gp.ProxyJoined(proxy, 5.0, True, "z") for proxy in range(PROXIES)))
         for _ in range(90):
             self.beat()
@@ -165,7 +165,7 @@
     assigner = Assigner(4_000)
     probed = [act for _, _, act, _ in assigner.brain.timers if act is Brain.probe]
     assert len(probed) == PROBED
-    assigner.beat(gp.TaskListReceived("changes", (line(assigner.brain.own_tasks[0].id, "draining"),)))
+    assigner.beat(gp.TaskListReceived("changes", (task_line(assigner.brain.own_tasks[0].id, "draining"),)))
     for _ in range(12):
         assigner.beat()
     probed = [task.id for _, _, act, task in assigner.brain.timers if act is Brain.probe]
@@ -176,15 +176,15 @@
     """Searching a list and walking all tasks for each line took over 20 s of a core for 13,000 lines."""
     work = {}
     for tasks in (500, 4_000):
-        listed = gp.TaskListReceived("full", tuple(line(f"t{number:05}") for number in range(tasks)))
-        brain = Brain(dataclasses.replace(TERMS, proxies=4_000, assigners=400, channel_lines=20.0), 7)
+        listed = gp.TaskListReceived("full", tuple(task_line(f"t{number:05}") for number in range(tasks)))
+        brain = Brain(dataclasses.replace(PARAMETERS, proxies=4_000, assigners=400, channel_lines=20.0), 7)
         brain.handle(0, [gp.TaskListReceived("full", listed.lines[: tasks // 2])])
         work[tasks] = steps_of(lambda brain=brain, listed=listed: brain.handle(10, [listed]))
     assert work[4_000] < 10 * work[500], work
 
 
 NAMES, STATES = st.sampled_from("abcdef"), st.sampled_from(("ready", "ready", "draining", "gone"))
-LINES = st.lists(st.builds(line, NAMES, STATES, st.sampled_from((0, 0, 1, 2))), max_size=8)
+LINES = st.lists(st.builds(task_line, NAMES, STATES, st.sampled_from((0, 0, 1, 2))), max_size=8)
 LISTS = st.builds(
     gp.TaskListReceived, st.sampled_from(("changes", "full", "stale", "lost")), LINES.map(tuple)
 )
@@ -203,7 +203,7 @@
 @given(BATCHES, st.booleans())
 def test_the_indexes_agree_with_any_sequence_of_task_lists(batches, gone_binds):
     """Lists may name a task twice, drop it, list it again, be older than the last one or be empty."""
-    brain, now = Brain(dataclasses.replace(TERMS, dropped_counts_as_gone=gone_binds), 7), 0
+    brain, now = Brain(dataclasses.replace(PARAMETERS, dropped_counts_as_gone=gone_binds), 7), 0
     brain.handle(0, [gp.ProxyJoined(0, 5.0, True, "z")])
     for events, elapsed in batches:
         now += elapsed
