--- a/tests/peers.py
+++ b/tests/peers.py
@@ -9,10 +9,10 @@
 
 from helper import ScriptedServer, http_response
 
-GRACE = 3.0  # s: the default of stop_sending_within
-CAUGHT_UP = 10.0  # s within which nine of ten restarted assigners have to be ready
-CHUNKED = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-KEEP_ALIVE_PERIOD = 0.1  # s between keep-alives of a relay's event stream
+DEFAULT_GRACE_PERIOD = 3.0  # s: the default of stop_sending_within
+RESTART_TIMEOUT = 10.0  # s within which nine of ten restarted assigners have to be ready
+CHUNKED_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+KEEPALIVE_INTERVAL = 0.1  # s between keep-alives of a relay's event stream
 
 
 def chunk(text):
@@ -21,12 +21,12 @@
     return f"{len(body):x}\r\n".encode() + body + b"\r\n"
 
 
-def taken(count):
+def accepted_response(count):
     """The relay's response to a request of which `count` orders were executed."""
     return http_response(f"<Response><entries><item><taken>{count}</taken></item></entries></Response>")
 
 
-def listed(generation, reset, *entries):
+def task_list_body(generation, reset, *entries):
     """The body of a task list; entries are (task, lifecycle)."""
     instances = [
         {"instanceId": f"s-{task}", "hostPort": "127.0.0.1:1", "zone": "a", "lifecycle": state}
@@ -35,14 +35,14 @@
     return json.dumps({"generation": generation, "reset": reset, "instances": instances})
 
 
-async def within(seconds, condition):
+async def wait_within(seconds, condition):
     """Waits until the condition holds; raises TimeoutError after this many seconds."""
     async with asyncio.timeout(seconds):
         while not condition():
             await asyncio.sleep(0.005)
 
 
-class Relay:
+class FakeRelay:
     """A relay at any number of addresses: keeps the ordered tables, bindings and withdrawals of its proxies.
 
     joined: proxy -> whether it is new, that is, holds no table that was ordered.
@@ -51,11 +51,11 @@
     def __init__(self, *joined):
         self.joined = dict.fromkeys(joined, True)
         self.tables, self.bound, self.former_tasks, self.withdrawn = {}, {}, {}, {}
-        self.orders, self.calls, self.streams, self.asked, self.history = [], 0, [], 0, []
+        self.orders, self.calls, self.streams, self.stream_request_count, self.history = [], 0, [], 0, []
         # Cleared: requests get no response; event streams are silent.
-        self.answers, self.speaks = asyncio.Event(), asyncio.Event()
-        self.answers.set()
-        self.speaks.set()
+        self.responding, self.streaming = asyncio.Event(), asyncio.Event()
+        self.responding.set()
+        self.streaming.set()
 
     def listen(self):
         return ScriptedServer(
@@ -67,28 +67,28 @@
     def make_handler(self, request):
         async def respond(writer):
             self.calls += 1
-            await self.answers.wait()
+            await self.responding.wait()
             orders = request.rpartition("changes=")[2].split(";")
             done_events = self.execute(orders)
-            writer.write(b"".join(taken(len(orders))))
+            writer.write(b"".join(accepted_response(len(orders))))
             self.send_events(*done_events)
 
         return respond
 
     async def serve_events(self, writer):
         """The event stream: the joined proxies, then events and periodic keep-alives."""
-        self.asked += 1
-        await self.speaks.wait()
-        writer.write(CHUNKED)
+        self.stream_request_count += 1
+        await self.streaming.wait()
+        writer.write(CHUNKED_HEAD)
         writer.write(b"".join(chunk(self.attach_event(proxy)) for proxy in self.joined))
         self.streams.append(writer)
         while not writer.is_closing():
-            if self.speaks.is_set():
+            if self.streaming.is_set():
                 writer.write(chunk(":\n\n"))
-            await asyncio.sleep(KEEP_ALIVE_PERIOD)
+            await asyncio.sleep(KEEPALIVE_INTERVAL)
 
     def send_events(self, *events):
-        if self.speaks.is_set():
+        if self.streaming.is_set():
             for writer in self.streams:
                 writer.write(b"".join(map(chunk, events)))
 
@@ -105,7 +105,7 @@
         self.withdrawn.pop(proxy, None)
         self.send_events(f"event: detach\ndata: id={proxy}\n\n")
 
-    def restarted(self):
+    def reset_for_restart(self):
         """The assigner was restarted: each proxy keeps its tasks and joins the new process with them."""
         self.former_tasks = {proxy: self.tasks_of(proxy) for proxy in self.joined}
         self.joined = {proxy: not tasks for proxy, tasks in self.former_tasks.items()}
@@ -120,7 +120,7 @@
         )
         return frozenset(tasks) - self.withdrawn.get(proxy, set())
 
-    def callable(self):
+    def callable_tasks(self):
         """The tasks that each proxy may call, as `4:abc 5:abc`."""
         return " ".join(
             f"{proxy}:{''.join(sorted(task.removeprefix('s-') for task in self.tasks_of(proxy)))}"
@@ -151,32 +151,32 @@
                 case "fence":
                     mark = arguments[0]
         self.orders += orders
-        if self.history[-1:] != [self.callable()]:
-            self.history.append(self.callable())
+        if self.history[-1:] != [self.callable_tasks()]:
+            self.history.append(self.callable_tasks())
         return [f"event: done\ndata: id={proxy}&seq={mark}&ms=1\n\n" for proxy in sorted(reached) if mark]
 
-    def ordered(self, text):
+    def count_orders(self, text):
         """The number of orders that begin with a text."""
         return sum(order.startswith(text) for order in self.orders)
 
 
-class DiscoveryAgent:
+class FakeDiscovery:
     """A discovery agent: sends the full list and answers long polls once there is a newer generation."""
 
-    def __init__(self, generation, tasks, whole=False):
-        self.generation, self.whole = generation, whole  # whole: long polls get full lists, too
+    def __init__(self, generation, tasks, full_lists=False):
+        self.generation, self.full_lists = generation, full_lists  # full_lists: for long polls, too
         self.entries = [(task, "active") for task in tasks]
-        self.changes, self.asked, self.updated = {}, 0, asyncio.Event()
-        self.speaks = asyncio.Event()  # cleared: accepts requests and sends no response
-        self.speaks.set()
+        self.changes, self.request_count, self.updated = {}, 0, asyncio.Event()
+        self.responding = asyncio.Event()  # cleared: accepts requests and sends no response
+        self.responding.set()
 
     def listen(self):
         return ScriptedServer(default_step=self.make_handler)
 
-    def tell(self, *changes, generation=None):
-        """Starts another generation with these changed entries, or if `whole`, with this full list."""
+    def publish_generation(self, *changes, generation=None):
+        """Starts another generation with these changed entries, or if `full_lists`, with this full list."""
         self.generation = generation or self.generation + 1
-        if self.whole:
+        if self.full_lists:
             self.entries = list(changes)
         else:
             self.entries = list((dict(self.entries) | dict(changes)).items())
@@ -187,32 +187,34 @@
 
     def make_handler(self, request):
         async def respond(writer):
-            self.asked += 1
+            self.request_count += 1
             poll = re.search(r"since=(\d+)&timeout_ms=(\d+)", request)
             if poll and int(poll[1]) >= self.generation:
                 with contextlib.suppress(TimeoutError):
                     async with asyncio.timeout(int(poll[2]) / 1_000):
                         await self.updated.wait()
-            await self.speaks.wait()
+            await self.responding.wait()
             since = int(poll[1]) if poll else 0
-            if self.whole and self.generation > since or not poll:
-                body = listed(self.generation, True, *self.entries)
+            if self.full_lists and self.generation > since or not poll:
+                body = task_list_body(self.generation, True, *self.entries)
             else:
-                changed = [entry for at, entries in self.changes.items() if at > since for entry in entries]
-                body = listed(self.generation, False, *changed)
+                changed = [
+                    entry for number, entries in self.changes.items() if number > since for entry in entries
+                ]
+                body = task_list_body(self.generation, False, *changed)
             writer.write(b"".join(http_response(body)))
 
         return respond
 
 
-class Program:
+class AssignerProgram:
     """`serve` as a separate process whose log is read line by line."""
 
     def __init__(self, path, stdout=asyncio.subprocess.PIPE):
         self.path, self.stdout, self.log = path, stdout, []
 
     async def __aenter__(self):
-        self.made = await asyncio.create_subprocess_exec(
+        self.process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
             "garnetpaddle",
@@ -224,47 +226,49 @@
         return self
 
     async def __aexit__(self, *_):
-        if self.made.returncode is None:
-            self.made.kill()
-            await self.made.wait()
+        if self.process.returncode is None:
+            self.process.kill()
+            await self.process.wait()
 
-    async def logged(self, text):
+    async def wait_for_log(self, text):
         """Reads the log up to a line that contains the text."""
         while not self.log or text not in self.log[-1]:
-            self.log.append((await self.made.stdout.readline()).decode())
-            assert self.log[-1], f"the process ended before it logged {text}: {await self.made.stderr.read()}"
+            self.log.append((await self.process.stdout.readline()).decode())
+            assert self.log[-1], (
+                f"the process ended before it logged {text}: {await self.process.stderr.read()}"
+            )
 
-    async def logged_all(self, *texts):
+    async def wait_for_all_logs(self, *texts):
         """Reads the log until each text has occurred, in any order."""
         while not all(any(text in line for line in self.log) for text in texts):
-            self.log.append((await self.made.stdout.readline()).decode())
+            self.log.append((await self.process.stdout.readline()).decode())
             assert self.log[-1], (
-                f"the process ended before it logged {texts}: {await self.made.stderr.read()}"
+                f"the process ended before it logged {texts}: {await self.process.stderr.read()}"
             )
 
     def signal(self, *signals):
         for number in signals:
-            self.made.send_signal(number)
+            self.process.send_signal(number)
 
     async def end(self):
         """Waits for the exit; returns the exit code and what was written to standard error."""
-        return (await self.made.wait(), (await self.made.stderr.read()).decode())
+        return (await self.process.wait(), (await self.process.stderr.read()).decode())
 
 
-ENDED = (0, "")
+CLEAN_EXIT = (0, "")
 
 
-def at(party):
+def host_port(server):
     """The address of a ScriptedServer as host:port."""
-    return f"{party.address[0]}:{party.address[1]}"
+    return f"{server.address[0]}:{server.address[1]}"
 
 
-def at_socket(sock):
+def socket_host_port(sock):
     """The local address of a socket as host:port."""
     return "{}:{}".format(*sock.getsockname()[:2])
 
 
-def held(*responses):
+def delayed_response(*responses):
     """A script step that sends its responses only after an event is set: (step, event)."""
     release = asyncio.Event()
 
--- a/tests/test_fault_scenarios.py
+++ b/tests/test_fault_scenarios.py
@@ -13,19 +13,19 @@
 import pytest
 from helper import PARAMETERS, BrainHarness, ScriptedServer, format_event, list_changes, task_line, wait_until
 from peers import (
-    CAUGHT_UP,
-    CHUNKED,
-    ENDED,
-    GRACE,
-    DiscoveryAgent,
-    Program,
-    Relay,
-    at,
-    at_socket,
+    CHUNKED_HEAD,
+    CLEAN_EXIT,
+    DEFAULT_GRACE_PERIOD,
+    RESTART_TIMEOUT,
+    AssignerProgram,
+    FakeDiscovery,
+    FakeRelay,
+    accepted_response,
     chunk,
-    listed,
-    taken,
-    within,
+    host_port,
+    socket_host_port,
+    task_list_body,
+    wait_within,
 )
 from test_codecs import written
 from test_net import Address, ending, patient  # noqa: F401
@@ -48,7 +48,7 @@
         {"instanceId": f"s-{task}", "hostPort": "127.0.0.1:1", "zone": "a", "lifecycle": "active"}
         for task in tasks
     ]
-    settings = ("discovery", at(discovery)), ("store/address", at(relay)), ("known", known)
+    settings = ("discovery", host_port(discovery)), ("store/address", host_port(relay)), ("known", known)
     return written(tmp_path, *settings, ("settings/ceilings/probes", False), *changes)
 
 
@@ -70,13 +70,13 @@
 async def announce_drain(drain_source, old_agent, new_agent):
     """Drains task b. `older`: announced by the old agent while the new one has an older list."""
     if drain_source != "new":
-        old_agent.tell(("b", "leaving"))
+        old_agent.publish_generation(("b", "leaving"))
     match drain_source:
         case "old":
             # Its list no longer contains b.
-            new_agent.tell(("b", "left"), generation=old_agent.generation + 1)
+            new_agent.publish_generation(("b", "left"), generation=old_agent.generation + 1)
         case "new" | "both":
-            new_agent.tell(("b", "leaving"))
+            new_agent.publish_generation(("b", "leaving"))
 
 
 @pytest.mark.parametrize(
@@ -92,49 +92,49 @@
     moves, drain_source, tmp_path
 ):
     async def scenario():
-        old_agent, new_agent, relay = DiscoveryAgent(50, "abc"), DiscoveryAgent(50, "abc"), Relay(4, 5)
+        old_agent, new_agent, relay = FakeDiscovery(50, "abc"), FakeDiscovery(50, "abc"), FakeRelay(4, 5)
         new_agent.generation -= drain_source == "older"
         async with (
             old_agent.listen() as old_discovery,
             new_agent.listen() as new_discovery,
             relay.listen() as old_relay,
             relay.listen() as new_relay,
-            Program(write_configuration(tmp_path, old_discovery, old_relay, "abc")) as program,
+            AssignerProgram(write_configuration(tmp_path, old_discovery, old_relay, "abc")) as program,
         ):
-            await wait_until(lambda: relay.callable() == "4:abc 5:abc")
-            new_agent.speaks.clear()
+            await wait_until(lambda: relay.callable_tasks() == "4:abc 5:abc")
+            new_agent.responding.clear()
             addresses = {"discovery": (new_discovery, old_relay), "both": (new_discovery, new_relay)}
             write_configuration(tmp_path, *addresses.get(moves, (old_discovery, new_relay)), "abc")
             program.signal(signal.SIGHUP)
             # The move is in progress: the new addresses have received requests but not answered them.
-            await wait_until(lambda: "relay" in moves or new_agent.asked)
+            await wait_until(lambda: "relay" in moves or new_agent.request_count)
             await wait_until(lambda: moves == "discovery" or new_relay.requests)
             await announce_drain(drain_source, old_agent, new_agent)
             if drain_source == "older":  # the older list arrives after the drain has been applied
-                await within(GRACE, lambda: relay.callable() == "4:ac 5:ac")
-            new_agent.speaks.set()
+                await wait_within(DEFAULT_GRACE_PERIOD, lambda: relay.callable_tasks() == "4:ac 5:ac")
+            new_agent.responding.set()
             if moves == "broken relay":
                 for writer in old_relay.writers:
                     writer.transport.abort()
-            await within(GRACE, lambda: relay.callable() == "4:ac 5:ac")
+            await wait_within(DEFAULT_GRACE_PERIOD, lambda: relay.callable_tasks() == "4:ac 5:ac")
             if drain_source == "older":
                 # The older list and a complete watch after it have arrived: b would be in a table again.
-                await wait_until(lambda: new_agent.asked > 2)
-                new_agent.tell(("b", "leaving"), generation=52)
+                await wait_until(lambda: new_agent.request_count > 2)
+                new_agent.publish_generation(("b", "leaving"), generation=52)
             move_events = [] if moves == "discovery" else ["event=news_moved"]
-            await program.logged_all(*move_events, *["event=discovery_moved"] * ("relay" not in moves))
+            await program.wait_for_all_logs(*move_events, *["event=discovery_moved"] * ("relay" not in moves))
             # The current agent's changes are applied, and orders reach the current relay.
-            (old_agent if "relay" in moves else new_agent).tell(("c", "leaving"), generation=60)
-            await within(GRACE, lambda: relay.callable() == "4:a 5:a")
+            (old_agent if "relay" in moves else new_agent).publish_generation(("c", "leaving"), generation=60)
+            await wait_within(DEFAULT_GRACE_PERIOD, lambda: relay.callable_tasks() == "4:a 5:a")
             return await terminate(program), relay, old_relay if moves == "discovery" else new_relay
 
     result, relay, current_relay = asyncio.run(scenario())
-    assert result == ENDED
+    assert result == CLEAN_EXIT
     assert "put,1,s-c,0.0" in current_relay.requests[-1] or moves == "broken relay"
     assert distinct_states(relay.history) == ["4:abc 5:abc", "4:ac 5:ac", "4:a 5:a"]
     # Removed once; after a broken stream the proxies are bound to a new table without b.
-    assert [relay.ordered(f"put,1,s-{task},0.0") for task in "ab"] == [0, moves != "broken relay"]
-    assert relay.ordered("eject") == 0
+    assert [relay.count_orders(f"put,1,s-{task},0.0") for task in "ab"] == [0, moves != "broken relay"]
+    assert relay.count_orders("eject") == 0
 
 
 # --- peers that fall silent
@@ -166,9 +166,9 @@
     must_ask_in = 4.0
 
     async def scenario():
-        agent, relay = DiscoveryAgent(50, "abc"), Relay(4, 5)
+        agent, relay = FakeDiscovery(50, "abc"), FakeRelay(4, 5)
         with socket.create_server(("127.0.0.1", 0)) as free_socket:
-            listen_address = at_socket(free_socket)
+            listen_address = socket_host_port(free_socket)
         async with agent.listen() as discovery, relay.listen() as address:
             settings = (
                 ("listen", listen_address),
@@ -176,8 +176,8 @@
                 ("settings/contract/must_ask_in", must_ask_in),
             )
             path = write_configuration(tmp_path, discovery, address, "abc", *settings)
-            async with Program(path) as program:
-                await wait_until(lambda: relay.callable() == "4:abc 5:abc")
+            async with AssignerProgram(path) as program:
+                await wait_until(lambda: relay.callable_tasks() == "4:abc 5:abc")
                 collector = Collector(listen_address.split(":"))
                 await collector.join()
                 calls = relay.calls
@@ -190,61 +190,61 @@
                 else:
                     await silent_collector(agent, relay, collector, program)
                 # After the recovery, changes are applied in order again.
-                agent.tell(("c", "leaving"))
-                await within(GRACE, lambda: relay.callable().startswith("4:a 5:a"))
+                agent.publish_generation(("c", "leaving"))
+                await wait_within(DEFAULT_GRACE_PERIOD, lambda: relay.callable_tasks().startswith("4:a 5:a"))
                 return await terminate(program), relay
 
     result, relay = asyncio.run(scenario())
-    assert result == ENDED
+    assert result == CLEAN_EXIT
     assert distinct_states(relay.history) == ["4:abc 5:abc", "4:ac 5:ac", "4:a 5:a"]
 
 
 async def run_healthy_rounds(agent, collector):
     for _ in range(HEALTHY_ROUNDS):
-        asked = agent.asked
-        agent.tell()
+        requests_before = agent.request_count
+        agent.publish_generation()
         collector.report()
-        await wait_until(lambda asked=asked: agent.asked > asked)
+        await wait_until(lambda requests_before=requests_before: agent.request_count > requests_before)
 
 
 async def silent_discovery(agent, relay, must_ask_in):
     """Changes made meanwhile arrive in one answer; a proxy that joins before it is bound at once."""
-    agent.speaks.clear()
-    agent.tell(("b", "leaving"))
-    asked = agent.asked
+    agent.responding.clear()
+    agent.publish_generation(("b", "leaving"))
+    requests_before = agent.request_count
     relay.join(6)
-    await within(1.0, lambda: relay.callable() == "4:abc 5:abc 6:abc")
-    await within(must_ask_in, lambda: agent.asked > asked)
-    agent.tell(("d", "active"))
-    agent.tell(("d", "left"))
-    agent.speaks.set()
-    await within(GRACE, lambda: relay.callable() == "4:ac 5:ac 6:ac")
+    await wait_within(1.0, lambda: relay.callable_tasks() == "4:abc 5:abc 6:abc")
+    await wait_within(must_ask_in, lambda: agent.request_count > requests_before)
+    agent.publish_generation(("d", "active"))
+    agent.publish_generation(("d", "left"))
+    agent.responding.set()
+    await wait_within(DEFAULT_GRACE_PERIOD, lambda: relay.callable_tasks() == "4:ac 5:ac 6:ac")
 
 
 async def silent_stream(agent, relay):
     """Calls continue while the stream is silent; the next stream lists all proxies that have not left."""
-    relay.speaks.clear()
-    agent.tell(("b", "leaving"))
-    await within(1.0, lambda: relay.callable() == "4:ac 5:ac")
-    asked, bound = relay.asked, relay.ordered("attach")
+    relay.streaming.clear()
+    agent.publish_generation(("b", "leaving"))
+    await wait_within(1.0, lambda: relay.callable_tasks() == "4:ac 5:ac")
+    requests_before, orders_before = relay.stream_request_count, relay.count_orders("attach")
     relay.join(6)
-    await within(STREAM_TIMEOUT, lambda: relay.asked > asked)
-    relay.speaks.set()
-    await within(GRACE, lambda: relay.ordered("attach") == bound + 3)
-    assert relay.callable() == "4:ac 5:ac 6:ac"
+    await wait_within(STREAM_TIMEOUT, lambda: relay.stream_request_count > requests_before)
+    relay.streaming.set()
+    await wait_within(DEFAULT_GRACE_PERIOD, lambda: relay.count_orders("attach") == orders_before + 3)
+    assert relay.callable_tasks() == "4:ac 5:ac 6:ac"
 
 
 async def silent_collector(agent, relay, collector, program):
     """A new collector takes over the zone with its first report; heartbeats are answered."""
-    agent.tell(("b", "leaving"))
-    await within(1.0, lambda: relay.callable() == "4:ac 5:ac")
+    agent.publish_generation(("b", "leaving"))
+    await wait_within(1.0, lambda: relay.callable_tasks() == "4:ac 5:ac")
     new_collector = Collector(collector.address)
     await new_collector.join()
     new_collector.writer.write(b"hb\r\n")
-    async with asyncio.timeout(GRACE):
+    async with asyncio.timeout(DEFAULT_GRACE_PERIOD):
         assert await new_collector.reader.readline() == b"hb_ok\r\n"
         new_collector.report()
-        await program.logged_all("replaces=true")
+        await program.wait_for_all_logs("replaces=true")
         assert await collector.reader.read() == b""
 
 
@@ -260,16 +260,20 @@
 )
 def test_full_lists_instead_of_changes(stay_open, expected, tmp_path):
     async def scenario():
-        agent, relay = DiscoveryAgent(50, "abcd", whole=True), Relay(4, 5)
+        agent, relay = FakeDiscovery(50, "abcd", full_lists=True), FakeRelay(4, 5)
         async with agent.listen() as discovery, relay.listen() as address:
             setting = ("settings/contract/dropped_stay_open", stay_open)
-            async with Program(write_configuration(tmp_path, discovery, address, "abcd", setting)) as program:
-                await wait_until(lambda: relay.callable() == expected[0])
+            async with AssignerProgram(
+                write_configuration(tmp_path, discovery, address, "abcd", setting)
+            ) as program:
+                await wait_until(lambda: relay.callable_tasks() == expected[0])
                 calls = relay.calls
 
                 async def send_list(*entries):
-                    agent.tell(*entries)
-                    await wait_until(lambda asked=agent.asked: agent.asked > asked)
+                    agent.publish_generation(*entries)
+                    await wait_until(
+                        lambda requests_before=agent.request_count: agent.request_count > requests_before
+                    )
 
                 # The same list repeatedly, with a duplicate entry, in different orders.
                 for _ in range(HEALTHY_ROUNDS):
@@ -277,16 +281,19 @@
                     await send_list(*active_entries("dcba"))
                 assert relay.calls == calls
                 await send_list(*active_entries("abcd"), ("b", "leaving"))
-                await within(GRACE, lambda: relay.callable() == expected[1])
+                await wait_within(DEFAULT_GRACE_PERIOD, lambda: relay.callable_tasks() == expected[1])
                 for entries in ("ad", "", "", "a"):  # the list shrinks until it is empty, then grows again
                     await send_list(*active_entries(entries))
                     if not stay_open and entries != "a":
-                        await within(GRACE, lambda entries=entries: relay.callable() == both_proxies(entries))
-                await within(GRACE, lambda: relay.callable() == expected[-1])
+                        await wait_within(
+                            DEFAULT_GRACE_PERIOD,
+                            lambda entries=entries: relay.callable_tasks() == both_proxies(entries),
+                        )
+                await wait_within(DEFAULT_GRACE_PERIOD, lambda: relay.callable_tasks() == expected[-1])
                 return await terminate(program), relay.history
 
     result, history = asyncio.run(scenario())
-    assert result == ENDED
+    assert result == CLEAN_EXIT
     assert distinct_states(history) == expected
 
 
@@ -313,7 +320,7 @@
 
 
 async def wait_for_heartbeat(listen_address):
-    async with asyncio.timeout(CAUGHT_UP):
+    async with asyncio.timeout(RESTART_TIMEOUT):
         while not await answers_heartbeat(listen_address):
             await asyncio.sleep(0.01)
 
@@ -321,7 +328,7 @@
 async def kill_and_wait(program, kill_signal):
     """Signals the process and waits for its exit."""
     program.signal(kill_signal)
-    await program.made.wait()
+    await program.process.wait()
 
 
 @pytest.mark.parametrize("kill_signal", [signal.SIGTERM, signal.SIGKILL])
@@ -330,38 +337,38 @@
     """bound: before any proxy is reported; answered: after its first hb_ok; called: during its first call."""
 
     async def scenario():
-        agent, relay = DiscoveryAgent(50, "abc"), Relay(4, 5)
+        agent, relay = FakeDiscovery(50, "abc"), FakeRelay(4, 5)
         with socket.create_server(("127.0.0.1", 0)) as free_socket:
-            listen_address = at_socket(free_socket)
+            listen_address = socket_host_port(free_socket)
         async with agent.listen() as discovery, relay.listen() as address:
             path = write_configuration(tmp_path, discovery, address, "abc", ("listen", listen_address))
-            async with Program(path) as first_program:  # the proxies keep the tables of this process
-                await wait_until(lambda: relay.callable() == "4:abc 5:abc")
+            async with AssignerProgram(path) as first_program:  # the proxies keep the tables of this process
+                await wait_until(lambda: relay.callable_tasks() == "4:abc 5:abc")
                 await kill_and_wait(first_program, signal.SIGKILL)
-            relay.restarted()
-            (relay.speaks if kill_time == "bound" else relay.answers).clear()
+            relay.reset_for_restart()
+            (relay.streaming if kill_time == "bound" else relay.responding).clear()
             calls = relay.calls
-            async with Program(path) as second_program:
-                await second_program.logged("event=serving")
+            async with AssignerProgram(path) as second_program:
+                await second_program.wait_for_log("event=serving")
                 if kill_time != "bound":
                     await wait_for_heartbeat(listen_address)
                 if kill_time == "called":
                     await wait_until(lambda: relay.calls > calls)
                 await kill_and_wait(second_program, kill_signal)
-            relay.restarted()
-            relay.speaks.set()
-            relay.answers.set()
+            relay.reset_for_restart()
+            relay.streaming.set()
+            relay.responding.set()
             order_count = len(relay.orders)
-            async with Program(path) as program:
-                agent.tell(("b", "leaving"))
+            async with AssignerProgram(path) as program:
+                agent.publish_generation(("b", "leaving"))
                 await wait_for_heartbeat(listen_address)
-                await within(GRACE, lambda: relay.callable() == "4:ac 5:ac")
+                await wait_within(DEFAULT_GRACE_PERIOD, lambda: relay.callable_tasks() == "4:ac 5:ac")
                 relay.join(6)
-                await within(GRACE, lambda: relay.callable() == "4:ac 5:ac 6:ac")
+                await wait_within(DEFAULT_GRACE_PERIOD, lambda: relay.callable_tasks() == "4:ac 5:ac 6:ac")
                 return await terminate(program), relay, relay.orders[order_count:]
 
     result, relay, orders = asyncio.run(scenario())
-    assert result == ENDED
+    assert result == CLEAN_EXIT
     assert distinct_states(relay.history) == ["4:abc 5:abc", "4:ac 5:ac"]
     # Proxies with a table keep it; only the new proxy is bound.
     assert [order.split(",")[1] for order in orders if order.startswith("attach")] == ["6"]
@@ -542,23 +549,23 @@
     """Over its first watches: one call to the relay, one event stream, and one watch per second."""
 
     async def scenario():
-        agent, relay = DiscoveryAgent(50, "abc"), Relay()
+        agent, relay = FakeDiscovery(50, "abc"), FakeRelay()
         async with (
             agent.listen() as discovery,
             relay.listen() as address,
-            Program(write_configuration(tmp_path, discovery, address, "abc")) as program,
+            AssignerProgram(write_configuration(tmp_path, discovery, address, "abc")) as program,
         ):
-            await wait_until(lambda: agent.asked)
+            await wait_until(lambda: agent.request_count)
             started_at = asyncio.get_running_loop().time()
-            await wait_until(lambda: agent.asked >= 4)
+            await wait_until(lambda: agent.request_count >= 4)
             # Four requests: the list, a watch immediately after it, then two more.
             assert asyncio.get_running_loop().time() - started_at > 1.8
-            request_counts = relay.calls, relay.asked, agent.asked
+            request_counts = relay.calls, relay.stream_request_count, agent.request_count
             relay.join(4)
-            await within(1.0, lambda: relay.callable() == "4:abc")
+            await wait_within(1.0, lambda: relay.callable_tasks() == "4:abc")
             return request_counts, await terminate(program)
 
-    assert asyncio.run(scenario()) == ((1, 1, 4), ENDED)
+    assert asyncio.run(scenario()) == ((1, 1, 4), CLEAN_EXIT)
 
 
 # --- messages split over several reads
@@ -584,9 +591,9 @@
 @pytest.mark.usefixtures("patient")
 def test_split_task_lists(monkeypatch):
     script = [
-        utf8_http_response(listed(50, True, ("ä", "active"), ("b", "active"))),
-        [CHUNKED, chunk(listed(51, False, ("ä", "leaving"))), b"0\r\n\r\n"],
-        utf8_http_response(listed(52, False, ("b", "left"))),
+        utf8_http_response(task_list_body(50, True, ("ä", "active"), ("b", "active"))),
+        [CHUNKED_HEAD, chunk(task_list_body(51, False, ("ä", "leaving"))), b"0\r\n\r\n"],
+        utf8_http_response(task_list_body(52, False, ("b", "left"))),
     ]
 
     async def scenario():
@@ -622,7 +629,7 @@
         cuts = body.index("ü".encode()) + 1, body.index(b"\r\n\r\n") + 1
         parts = body[: cuts[0]], body[cuts[0] : cuts[1]], body[cuts[1] :]
         stream = [f"{len(part):x}\r\n".encode() + part + b"\r\n" for part in parts]
-        async with ScriptedServer([CHUNKED, *stream], default_step=lambda _: None) as relay:
+        async with ScriptedServer([CHUNKED_HEAD, *stream], default_step=lambda _: None) as relay:
             return await run_until(
                 EventSubscription(relay.address, MarkTranslator(0), events.append), events, 3
             )
@@ -641,8 +648,8 @@
     async def scenario():
         events = []
         answer = "<Response><!-- ä --><entries><item><taken>1</taken></item></entries></Response>"
-        chunked = [CHUNKED, chunk(answer[:14]), chunk(answer[14:]), b"0\r\n\r\n"]
-        async with ScriptedServer(utf8_http_response(answer), chunked, taken(1)) as relay:
+        chunked = [CHUNKED_HEAD, chunk(answer[:14]), chunk(answer[14:]), b"0\r\n\r\n"]
+        async with ScriptedServer(utf8_http_response(answer), chunked, accepted_response(1)) as relay:
             sender = OrderSender(relay.address, ["read"], MarkTranslator(0), events.append)
             for task in "abc":
                 sender.submit([gp.SetWeight(1, task, 1.0)])
@@ -754,7 +761,7 @@
     async def scenario():
         async with Address(print, room=64) as server:
             connections = [await server.join(message) for message in messages]
-            async with asyncio.timeout(CAUGHT_UP):
+            async with asyncio.timeout(RESTART_TIMEOUT):
                 responses = [await ending(reader) for reader, _ in connections]
             await wait_until(lambda: not server.ours.peers)
             return responses
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -13,7 +13,7 @@
 
 import pytest
 from helper import ScriptedServer, assert_trace_matches, format_event, http_response, wait_until
-from peers import chunk, taken
+from peers import accepted_response, chunk
 from test_codecs import written
 
 from garnetpaddle import interface as gp
@@ -60,14 +60,14 @@
 
 
 RELAY_RESPONSES = {
-    "accepted": [taken(2), taken(1)],
-    "byte_by_byte": [[bytes([b]) for b in taken(2)[0]], taken(1)],
-    "partly_accepted": [taken(2), taken(2), taken(1)],
-    "rejected": [rejection("limit"), taken(2)],
-    "reset": ["break", taken(2)],
-    "invalid_xml": [http_response("<Response"), taken(2)],
-    "invalid_http": [[b"whim\r\n\r\n"], taken(2)],
-    "silent_within_body": [[b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n<a/>"], taken(2)],
+    "accepted": [accepted_response(2), accepted_response(1)],
+    "byte_by_byte": [[bytes([b]) for b in accepted_response(2)[0]], accepted_response(1)],
+    "partly_accepted": [accepted_response(2), accepted_response(2), accepted_response(1)],
+    "rejected": [rejection("limit"), accepted_response(2)],
+    "reset": ["break", accepted_response(2)],
+    "invalid_xml": [http_response("<Response"), accepted_response(2)],
+    "invalid_http": [[b"whim\r\n\r\n"], accepted_response(2)],
+    "silent_within_body": [[b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n<a/>"], accepted_response(2)],
     "silent": [None],
 }
 
@@ -562,7 +562,7 @@
         default_step=lambda request: (
             itertools.chain(NEWS, joined, keep_alives)
             if "events" in request
-            else taken(request.count(";") + 1)
+            else accepted_response(request.count(";") + 1)
         )
     )
 
@@ -639,7 +639,7 @@
     published = []
 
     async def scenario():
-        async with ScriptedServer(taken(1)) as old, ScriptedServer(taken(1)) as new:
+        async with ScriptedServer(accepted_response(1)) as old, ScriptedServer(accepted_response(1)) as new:
             sender = OrderSender(old.address, ["read"], MarkTranslator(0), published.append)
             running = asyncio.create_task(sender.run())
             sender.submit([A])
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -13,7 +13,15 @@
 
 import pytest
 from helper import ScriptedServer, http_response, wait_until
-from peers import ENDED, Program, at, at_socket, chunk, held, taken
+from peers import (
+    CLEAN_EXIT,
+    AssignerProgram,
+    accepted_response,
+    chunk,
+    delayed_response,
+    host_port,
+    socket_host_port,
+)
 from test_codecs import GIVEN, written
 from test_net import NEWS, A, B, agent_of, patient, relay_of, rows  # noqa: F401
 
@@ -55,43 +63,43 @@
     path = fifo(tmp_path)
 
     async def scenario():
-        async with Program(path) as program:
+        async with AssignerProgram(path) as program:
             # Returns once the signal handlers are installed and the configuration is being read.
             await open_for_writing(path)
             program.signal(*signals)
             return await program.end()
 
-    assert asyncio.run(scenario()) == ENDED
+    assert asyncio.run(scenario()) == CLEAN_EXIT
 
 
 def test_sighup_during_start_up_is_deferred_until_after_it(tmp_path):
     path = fifo(tmp_path)
 
     async def scenario():
-        async with Program(path) as program:
+        async with AssignerProgram(path) as program:
             for signals in ([signal.SIGHUP], []):
                 descriptor = await open_for_writing(path)
                 program.signal(*signals)
                 os.write(descriptor, json.dumps(GIVEN).encode())
                 os.close(descriptor)
-                await program.logged("event=serving" if signals else "event=reloaded")
+                await program.wait_for_log("event=serving" if signals else "event=reloaded")
             program.signal(signal.SIGTERM)
             return await program.end()
 
-    assert asyncio.run(scenario()) == ENDED
+    assert asyncio.run(scenario()) == CLEAN_EXIT
 
 
 def test_second_sigterm_is_ignored(tmp_path):
     async def scenario():
-        async with Program(written(tmp_path)) as program:
-            await program.logged("event=serving")
+        async with AssignerProgram(written(tmp_path)) as program:
+            await program.wait_for_log("event=serving")
             program.signal(signal.SIGTERM)
-            await program.logged("event=stopped")
+            await program.wait_for_log("event=stopped")
             with contextlib.suppress(ProcessLookupError):
                 program.signal(signal.SIGTERM, signal.SIGHUP)
             return await program.end()
 
-    assert asyncio.run(scenario()) == ENDED
+    assert asyncio.run(scenario()) == CLEAN_EXIT
 
 
 def test_no_further_call_is_sent_after_sigterm_during_a_call(tmp_path):
@@ -100,15 +108,15 @@
     async def scenario():
         async with agent_of(42) as agent, relay_of(4, 5) as relay:
             relay.default_step, requests = without_call_answers(relay.default_step), relay.requests
-            path = written(tmp_path, ("discovery", at(agent)), ("store/address", at(relay)))
-            async with Program(path) as program:
+            path = written(tmp_path, ("discovery", host_port(agent)), ("store/address", host_port(relay)))
+            async with AssignerProgram(path) as program:
                 await wait_until(lambda: any("POST" in request for request in requests))
                 program.signal(signal.SIGTERM)
                 result = await program.end()
             return result, [request for request in requests if "POST" in request]
 
     result, calls = asyncio.run(scenario())
-    assert result == ENDED and len(calls) == 1
+    assert result == CLEAN_EXIT and len(calls) == 1
 
 
 def without_call_answers(answer):
@@ -119,15 +127,17 @@
 def test_start_waits_for_an_address_still_in_use(is_released, tmp_path):
     async def scenario():
         with socket.create_server(("127.0.0.1", 0)) as occupied_socket:
-            async with Program(written(tmp_path, ("listen", at_socket(occupied_socket)))) as program:
-                await program.logged("event=listen_waits")
+            async with AssignerProgram(
+                written(tmp_path, ("listen", socket_host_port(occupied_socket)))
+            ) as program:
+                await program.wait_for_log("event=listen_waits")
                 if is_released:
                     occupied_socket.close()
-                    await program.logged("event=serving")
+                    await program.wait_for_log("event=serving")
                 program.signal(signal.SIGTERM)
                 return await program.end()
 
-    assert asyncio.run(scenario()) == ENDED
+    assert asyncio.run(scenario()) == CLEAN_EXIT
 
 
 def test_start_fails_if_the_address_stays_in_use(tmp_path, monkeypatch):
@@ -147,9 +157,9 @@
 
     async def scenario():
         with socket.create_server(("127.0.0.1", 0)) as free_socket:
-            address = at_socket(free_socket)
+            address = socket_host_port(free_socket)
         read_end, write_end = os.pipe()
-        async with Program(written(tmp_path, ("listen", address)), stdout=write_end) as program:
+        async with AssignerProgram(written(tmp_path, ("listen", address)), stdout=write_end) as program:
             os.close(write_end)
             output = b""
             while b"event=serving" not in output:
@@ -163,7 +173,7 @@
             program.signal(signal.SIGTERM)
             return answer, await program.end()
 
-    assert asyncio.run(scenario()) == (b"hb_ok\r\n", ENDED)
+    assert asyncio.run(scenario()) == (b"hb_ok\r\n", CLEAN_EXIT)
 
 
 # --- discovery
@@ -180,7 +190,7 @@
     events = []
 
     async def scenario():
-        delayed_answer, gate = held(rows(51, False, a="leaving"))
+        delayed_answer, gate = delayed_response(rows(51, False, a="leaving"))
         async with (
             ScriptedServer(rows(50, True, a="active"), delayed_answer) as old_peer,
             ScriptedServer(rows(50, True, a="active"), default_step=lambda _: None) as new_peer,
@@ -236,7 +246,7 @@
     events = []
 
     async def scenario():
-        delayed_answer, gate = held(rows(50, False, a="leaving", b="left"))
+        delayed_answer, gate = delayed_response(rows(50, False, a="leaving", b="left"))
         older = rows(48, True, a="active", b="active"), rows(49, False, b="leaving")
         async with (
             ScriptedServer(rows(50, True, a="leaving"), default_step=lambda _: None) as old_peer,
@@ -319,7 +329,10 @@
     events = []
 
     async def scenario():
-        full_list, (delayed_answer, gate) = rows(50, True, a="active"), held(rows(60, True, z="active"))
+        full_list, (delayed_answer, gate) = (
+            rows(50, True, a="active"),
+            delayed_response(rows(60, True, z="active")),
+        )
         async with (
             ScriptedServer(
                 default_step=lambda request: None if "since" in request else full_list
@@ -531,7 +544,9 @@
     events = []
 
     async def scenario():
-        async with ScriptedServer(default_step=lambda request: taken(request.count(";") + 1)) as old_peer:
+        async with ScriptedServer(
+            default_step=lambda request: accepted_response(request.count(";") + 1)
+        ) as old_peer:
             with unreachable_address(listens=fault == "silent") as new_peer:
                 sender = OrderSender(old_peer.address, ["read"], MarkTranslator(0), events.append)
                 running = asyncio.create_task(sender.run())
@@ -572,12 +587,12 @@
     events = []
 
     async def answer_and_close(writer):
-        writer.write(b"".join(taken(1)))
+        writer.write(b"".join(accepted_response(1)))
         await writer.drain()
         writer.close()
 
     async def scenario():
-        async with ScriptedServer(answer_and_close, taken(1)) as relay:
+        async with ScriptedServer(answer_and_close, accepted_response(1)) as relay:
             sender = OrderSender(relay.address, ["read"], MarkTranslator(0), events.append)
             running = asyncio.create_task(sender.run())
             sender.submit([A])
@@ -666,15 +681,19 @@
 
     async def scenario():
         with socket.create_server(("127.0.0.1", 0)) as free_socket:
-            address = at_socket(free_socket)
+            address = socket_host_port(free_socket)
         async with agent_of(42) as agent, relay_of(4) as relay:
-            changes = ("discovery", at(agent)), ("store/address", at(relay)), ("listen", address)
-            async with Program(written(tmp_path, *changes)) as program:
-                await program.logged("event=news_open")
+            changes = (
+                ("discovery", host_port(agent)),
+                ("store/address", host_port(relay)),
+                ("listen", address),
+            )
+            async with AssignerProgram(written(tmp_path, *changes)) as program:
+                await program.wait_for_log("event=news_open")
                 await wait_until(lambda: any("attach,4" in request for request in relay.requests))
 
                 def descriptors():
-                    return len(os.listdir(f"/proc/{program.made.pid}/fd"))
+                    return len(os.listdir(f"/proc/{program.process.pid}/fd"))
 
                 count_before = descriptors()
                 unknown_peers = [await asyncio.open_connection(*address.split(":")) for _ in range(100)]
@@ -684,7 +703,7 @@
                 writer.write(b"hb\r\n")
                 assert await reader.readline() == b"hb_ok\r\n"
                 writer.write(b"telemetry site=a\r\n")
-                await program.logged("event=collector_joined")
+                await program.wait_for_log("event=collector_joined")
                 for peer in (agent, relay):  # reconnects during the flood
                     request_count = len(peer.requests)
                     for connection in peer.writers:
@@ -700,7 +719,7 @@
                 program.signal(signal.SIGTERM)
                 return await program.end()
 
-    assert asyncio.run(scenario()) == ENDED
+    assert asyncio.run(scenario()) == CLEAN_EXIT
 
 
 # --- settings
