--- a/tests/signal_tries.py
+++ b/tests/signal_tries.py
@@ -204,7 +204,7 @@
     parser.add_argument("--count", type=int, default=0)
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--limit", type=float, default=5.0, help="time limit of a try in seconds")
-    parser.add_argument("--max-hung", type=int, default=3, help="stop after this many hung tries")
+    parser.add_argument("--hung-most", type=int, default=3, help="stop after this many hung tries")
     options = parser.parse_args()
     codes, hung, tries = collections.Counter(), [], 0
     for result in results(options):
@@ -213,7 +213,7 @@
         else:
             codes[result.code] += 1
         tries += 1
-        if len(hung) >= options.max_hung:
+        if len(hung) >= options.hung_most:
             break
     print(json.dumps({"tries": tries, "codes": codes, "hung": hung}))
 
--- a/tests/test_codecs.py
+++ b/tests/test_codecs.py
@@ -227,7 +227,7 @@
     assert order_codec.parse_response(status, bytearray(body.encode()), 3) == expected
 
 
-GIVEN = {
+CONFIGURATION = {
     "name": "n3",
     "listen": "127.0.0.1:0",
     "discovery": "127.0.0.1:9",
@@ -253,8 +253,8 @@
 }
 
 
-def written(tmp_path, *changes):
-    config = json.loads(json.dumps(GIVEN))
+def write_configuration(tmp_path, *changes):
+    config = json.loads(json.dumps(CONFIGURATION))
     for keys, value in changes:
         *path, last = keys.split("/")
         target = config
@@ -267,7 +267,7 @@
 
 
 def test_a_configuration_is_read(tmp_path):
-    config = configuration.read(written(tmp_path), {"ROUTER_NAME": "n3"})
+    config = configuration.read(write_configuration(tmp_path), {"ROUTER_NAME": "n3"})
     assert (configuration.parse_seed(config), config.limits.sockets) == (0x8C1F, 64)
 
 
@@ -289,12 +289,12 @@
 )
 def test_an_invalid_field_is_named(tmp_path, keys, value, field):
     with pytest.raises(configuration.ConfigurationError, match=field.replace("$", r"\$")):
-        configuration.read(written(tmp_path, (keys, value)), {})
+        configuration.read(write_configuration(tmp_path, (keys, value)), {})
 
 
 def test_environment_must_agree_with_the_file(tmp_path):
     with pytest.raises(configuration.ConfigurationError, match="ROUTER_NAME"):
-        configuration.read(written(tmp_path), {"ROUTER_NAME": "n4"})
+        configuration.read(write_configuration(tmp_path), {"ROUTER_NAME": "n4"})
     with pytest.raises(configuration.ConfigurationError, match="ROUTER_CONFIG"):
         configuration.read(str(tmp_path / "none.json"), {})
     (tmp_path / "half.json").write_text('{"name":')
--- a/tests/test_fault_scenarios.py
+++ b/tests/test_fault_scenarios.py
@@ -27,8 +27,8 @@
     task_list_body,
     wait_within,
 )
-from test_codecs import written
-from test_net import Address, ending, patient  # noqa: F401
+from test_codecs import write_configuration
+from test_net import ListenerServer, long_timeouts, read_to_end  # noqa: F401
 
 from garnetpaddle import interface as gp
 from garnetpaddle.brain import COLD_CAPACITY_SHARE, INHERITED_TABLES_TENTHS_MS
@@ -41,7 +41,7 @@
 from garnetpaddle.net.task_list_watch import TaskAddresses, TaskListWatch
 
 
-def write_configuration(tmp_path, discovery, relay, tasks, *changes):
+def write_peer_configuration(tmp_path, discovery, relay, tasks, *changes):
     """Writes a configuration with these addresses, these tasks in the last known list, and no probes."""
     known = {"generation": 41, "reset": True, "instances": []}
     known["instances"] = [
@@ -49,7 +49,7 @@
         for task in tasks
     ]
     settings = ("discovery", host_port(discovery)), ("store/address", host_port(relay)), ("known", known)
-    return written(tmp_path, *settings, ("settings/ceilings/probes", False), *changes)
+    return write_configuration(tmp_path, *settings, ("settings/ceilings/probes", False), *changes)
 
 
 def distinct_states(history):
@@ -99,12 +99,12 @@
             new_agent.listen() as new_discovery,
             relay.listen() as old_relay,
             relay.listen() as new_relay,
-            AssignerProgram(write_configuration(tmp_path, old_discovery, old_relay, "abc")) as program,
+            AssignerProgram(write_peer_configuration(tmp_path, old_discovery, old_relay, "abc")) as program,
         ):
             await wait_until(lambda: relay.callable_tasks() == "4:abc 5:abc")
             new_agent.responding.clear()
             addresses = {"discovery": (new_discovery, old_relay), "both": (new_discovery, new_relay)}
-            write_configuration(tmp_path, *addresses.get(moves, (old_discovery, new_relay)), "abc")
+            write_peer_configuration(tmp_path, *addresses.get(moves, (old_discovery, new_relay)), "abc")
             program.signal(signal.SIGHUP)
             # The move is in progress: the new addresses have received requests but not answered them.
             await wait_until(lambda: "relay" in moves or new_agent.request_count)
@@ -175,7 +175,7 @@
                 ("settings/discovery", mode),
                 ("settings/contract/must_ask_in", must_ask_in),
             )
-            path = write_configuration(tmp_path, discovery, address, "abc", *settings)
+            path = write_peer_configuration(tmp_path, discovery, address, "abc", *settings)
             async with AssignerProgram(path) as program:
                 await wait_until(lambda: relay.callable_tasks() == "4:abc 5:abc")
                 collector = Collector(listen_address.split(":"))
@@ -264,7 +264,7 @@
         async with agent.listen() as discovery, relay.listen() as address:
             setting = ("settings/contract/dropped_stay_open", stay_open)
             async with AssignerProgram(
-                write_configuration(tmp_path, discovery, address, "abcd", setting)
+                write_peer_configuration(tmp_path, discovery, address, "abcd", setting)
             ) as program:
                 await wait_until(lambda: relay.callable_tasks() == expected[0])
                 calls = relay.calls
@@ -341,7 +341,7 @@
         with socket.create_server(("127.0.0.1", 0)) as free_socket:
             listen_address = socket_host_port(free_socket)
         async with agent.listen() as discovery, relay.listen() as address:
-            path = write_configuration(tmp_path, discovery, address, "abc", ("listen", listen_address))
+            path = write_peer_configuration(tmp_path, discovery, address, "abc", ("listen", listen_address))
             async with AssignerProgram(path) as first_program:  # the proxies keep the tables of this process
                 await wait_until(lambda: relay.callable_tasks() == "4:abc 5:abc")
                 await kill_and_wait(first_program, signal.SIGKILL)
@@ -553,7 +553,7 @@
         async with (
             agent.listen() as discovery,
             relay.listen() as address,
-            AssignerProgram(write_configuration(tmp_path, discovery, address, "abc")) as program,
+            AssignerProgram(write_peer_configuration(tmp_path, discovery, address, "abc")) as program,
         ):
             await wait_until(lambda: agent.request_count)
             started_at = asyncio.get_running_loop().time()
@@ -588,7 +588,7 @@
     return [f"HTTP/1.1 200 OK\r\nContent-Length: {len(body)}\r\n\r\n".encode() + body]
 
 
-@pytest.mark.usefixtures("patient")
+@pytest.mark.usefixtures("long_timeouts")
 def test_split_task_lists(monkeypatch):
     script = [
         utf8_http_response(task_list_body(50, True, ("ä", "active"), ("b", "active"))),
@@ -617,7 +617,7 @@
     return events
 
 
-@pytest.mark.usefixtures("patient")
+@pytest.mark.usefixtures("long_timeouts")
 def test_split_event_stream(monkeypatch):
     """Chunks end within a character, a CRLF and a field; lines use all three line endings."""
     text = "event: attach\r\ndata: id=4&site=zürich&rps=2&new=1\r\n\r\nevent: detach\rdata: id=4\r\r"
@@ -641,7 +641,7 @@
     ]
 
 
-@pytest.mark.usefixtures("patient")
+@pytest.mark.usefixtures("long_timeouts")
 def test_split_call_answers(monkeypatch):
     """Each answer is read completely: the next call uses the same connection, and no order is in doubt."""
 
@@ -696,7 +696,7 @@
 
     async def scenario():
         events = []
-        async with Address(events.append) as server:
+        async with ListenerServer(events.append) as server:
             await server.join(b"h")
             await server.join(b"hb\r\nhb\r\nh")
             reader, _ = await server.join(message)
@@ -719,11 +719,11 @@
     """1,000 in one write on one connection; 200 connections at once to a listener with room for 16."""
 
     async def scenario():
-        async with Address(print, room=16) as server:
+        async with ListenerServer(print, capacity=16) as server:
             reader, _ = await server.join(b"hb\r\n" * 1_000)
             pipelined = await reader.readexactly(1_000 * len(b"hb_ok\r\n"))
             sockets = [
-                socket.create_connection(server.at) for _ in range(200)
+                socket.create_connection(server.address) for _ in range(200)
             ]  # blocks the event loop meanwhile
             for sock in sockets:
                 sock.sendall(b"hb\r\n")
@@ -759,11 +759,11 @@
     ]
 
     async def scenario():
-        async with Address(print, room=64) as server:
+        async with ListenerServer(print, capacity=64) as server:
             connections = [await server.join(message) for message in messages]
             async with asyncio.timeout(RESTART_TIMEOUT):
-                responses = [await ending(reader) for reader, _ in connections]
-            await wait_until(lambda: not server.ours.peers)
+                responses = [await read_to_end(reader) for reader, _ in connections]
+            await wait_until(lambda: not server.listener.peers)
             return responses
 
     assert asyncio.run(scenario()) == [
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -14,7 +14,7 @@
 import pytest
 from helper import ScriptedServer, assert_trace_matches, format_event, http_response, wait_until
 from peers import accepted_response, chunk
-from test_codecs import written
+from test_codecs import write_configuration
 
 from garnetpaddle import interface as gp
 from garnetpaddle.net import (
@@ -34,12 +34,12 @@
 from garnetpaddle.net.order_sender import OrderSender
 
 LONG_TIMEOUT, SHORT_TIMEOUT = 60.0, 0.01  # s: where a response is expected, and where none ever comes
-pytestmark = pytest.mark.usefixtures("patient")
-A, B, C = (gp.SetWeight(1, name, 1.0) for name in ("s-a", "s-b", "s-c"))
+pytestmark = pytest.mark.usefixtures("long_timeouts")
+ORDER_A, ORDER_B, ORDER_C = (gp.SetWeight(1, name, 1.0) for name in ("s-a", "s-b", "s-c"))
 
 
 @pytest.fixture
-def patient(monkeypatch):
+def long_timeouts(monkeypatch):
     """Long timeouts, so that none expires on a slow machine; tests of timeouts set their own."""
     for module, timeout in (
         (order_sender, "RESPONSE_TIMEOUT"),
@@ -82,11 +82,11 @@
         async with ScriptedServer(*script) as relay:
             sender = OrderSender(relay.address, ["read"], MarkTranslator(0), published.append)
             sender.submit(
-                [A, B]
+                [ORDER_A, ORDER_B]
                 if name != "partly_accepted"
-                else [A, B, gp.BindProxy(4, 1), gp.RequestAcknowledgement(3, False)]
+                else [ORDER_A, ORDER_B, gp.BindProxy(4, 1), gp.RequestAcknowledgement(3, False)]
             )
-            sender.submit([C])
+            sender.submit([ORDER_C])
             running = asyncio.create_task(sender.run())
             await wait_until(
                 lambda: (
@@ -109,16 +109,16 @@
         async with ScriptedServer() as relay:
             pass
         sender = OrderSender(relay.address, ["read"], MarkTranslator(0), published.append)
-        sender.submit([A])
+        sender.submit([ORDER_A])
         running = asyncio.create_task(sender.run())
         await wait_until(lambda: published)
         running.cancel()
 
     asyncio.run(scenario())
-    assert published == [gp.OrdersLost((A,), False)]
+    assert published == [gp.OrdersLost((ORDER_A,), False)]
 
 
-def rows(generation, reset, **states):
+def task_list_response(generation, reset, **states):
     return http_response(
         json.dumps(
             {
@@ -158,10 +158,13 @@
 
 
 def test_the_full_list_is_followed_by_its_changes():
-    full = rows(4, True, a="active", b="active")
-    change = rows(6, False, a="left", c="leaving")
+    full = task_list_response(4, True, a="active", b="active")
+    change = task_list_response(6, False, a="left", c="leaving")
     assert_trace_matches(
-        "discovery", follow_task_list([full, rows(5, False), change, rows(7, True, b="active")], count=3)
+        "discovery",
+        follow_task_list(
+            [full, task_list_response(5, False), change, task_list_response(7, True, b="active")], count=3
+        ),
     )
 
 
@@ -174,8 +177,10 @@
         return lambda: monkeypatch.setattr(task_list_watch, "RESPONSE_TIMEOUT", seconds) or step
 
     monkeypatch.setattr(task_list_watch, "LONG_POLL_MS", 1)
-    first = with_timeout(LONG_TIMEOUT if failure else SHORT_TIMEOUT, rows(4, True, a="active"))
-    trace = follow_task_list([first, with_timeout(LONG_TIMEOUT, failure), rows(5, True, b="active")])
+    first = with_timeout(LONG_TIMEOUT if failure else SHORT_TIMEOUT, task_list_response(4, True, a="active"))
+    trace = follow_task_list(
+        [first, with_timeout(LONG_TIMEOUT, failure), task_list_response(5, True, b="active")]
+    )
     assert (
         trace[2].startswith("GET /discovery/hosts")
         and "TaskListReceived full" in trace[-2]
@@ -184,11 +189,11 @@
 
 
 def test_on_demand_a_failure_is_published_and_ends_the_subscription_until_the_next_watch_order():
-    script = ["break", rows(4, False), "break"]
+    script = ["break", task_list_response(4, False), "break"]
     assert_trace_matches("discovery_on_demand", follow_task_list(script, must_ask=True, asks=2, count=3))
 
 
-NEWS = [b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"]
+EVENT_STREAM_HEAD = [b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"]
 
 
 def test_event_subscription_over_a_gap(monkeypatch):
@@ -209,8 +214,8 @@
         script = [
             "break",
             http_response("", "503 Away"),
-            [*NEWS, *first_stream, b"0\r\n\r\n"],
-            [*NEWS, *second_stream],
+            [*EVENT_STREAM_HEAD, *first_stream, b"0\r\n\r\n"],
+            [*EVENT_STREAM_HEAD, *second_stream],
         ]
         async with ScriptedServer(*script) as relay:
             running = asyncio.create_task(EventSubscription(relay.address, marks, published.append).run())
@@ -232,7 +237,7 @@
     monkeypatch.setattr(event_subscription, "SILENCE_TIMEOUT", SHORT_TIMEOUT)
 
     async def scenario():
-        async with ScriptedServer(NEWS, NEWS) as relay:
+        async with ScriptedServer(EVENT_STREAM_HEAD, EVENT_STREAM_HEAD) as relay:
             running = asyncio.create_task(EventSubscription(relay.address, MarkTranslator(0), print).run())
             await wait_until(lambda: len(relay.requests) >= 2)
             running.cancel()
@@ -277,16 +282,16 @@
 KNOWN = message_codec.KnownNames({"read": 0}, ("a", "b"), 9)
 
 
-class Address:
-    """A Listener with a capacity of `room`, and connections to it."""
+class ListenerServer:
+    """A Listener with this capacity, and connections to it."""
 
-    def __init__(self, publish, room=6):
-        self.ours, self.client_streams = listener.Listener(publish, KNOWN, room), []
+    def __init__(self, publish, capacity=6):
+        self.listener, self.client_streams = listener.Listener(publish, KNOWN, capacity), []
 
     async def __aenter__(self):
-        self.server = await self.ours.open(("127.0.0.1", 0))
-        self.at = self.server.sockets[0].getsockname()[:2]
-        self.sweep_task = asyncio.create_task(self.ours.run())
+        self.server = await self.listener.open(("127.0.0.1", 0))
+        self.address = self.server.sockets[0].getsockname()[:2]
+        self.sweep_task = asyncio.create_task(self.listener.run())
         return self
 
     async def __aexit__(self, *_):
@@ -296,13 +301,13 @@
             writer.transport.abort()
 
     async def join(self, data=b""):
-        streams = await asyncio.open_connection(*self.at)
+        streams = await asyncio.open_connection(*self.address)
         self.client_streams.append(streams)
         streams[1].write(data)
         return streams
 
 
-async def ending(reader):
+async def read_to_end(reader):
     """What is received until the connection ends, also by a reset."""
     received = b""
     try:
@@ -319,7 +324,7 @@
     published = []
 
     async def scenario():
-        async with Address(published.append) as server:
+        async with ListenerServer(published.append) as server:
             first, second = await server.join(b"h"), await server.join()
             first[1].write(b"b\r\ntelemetry site=a\r\nwhim\r\nhb\r\n" + STATS[:9])
             assert await first[0].readexactly(14) == b"hb_ok\r\nhb_ok\r\n"
@@ -328,7 +333,7 @@
             # A second collector replaces the first only once it reports. It may send long lines before that.
             second[1].write(b"telemetry site=a\r\ndetach id=1\r\n" + b"x" * 50_000)
             first[1].write(STATS)
-            await wait_until(lambda: len(published) == 2 and server.ours.candidates)
+            await wait_until(lambda: len(published) == 2 and server.listener.candidates)
             third = await server.join(b"telemetry site=a\r\n")
             assert await second[0].read() == b""  # only one candidate per zone
             third[1].write(STATS)
@@ -340,7 +345,7 @@
             assert await last[0].readexactly(7) == b"hb_ok\r\n"
             third[1].write(STATS)
             await wait_until(lambda: len(published) == 4)
-            assert len(server.ours.peers) == 6
+            assert len(server.listener.peers) == 6
 
     asyncio.run(scenario())
 
@@ -367,8 +372,8 @@
     published = []
 
     async def scenario():
-        async with Address(published.append) as server:
-            return await ending((await server.join(data))[0])
+        async with ListenerServer(published.append) as server:
+            return await read_to_end((await server.join(data))[0])
 
     response = asyncio.run(scenario())
     assert response in (b"reject\r\n", b"hb_ok\r\nreject\r\n", b"") and not published
@@ -389,8 +394,8 @@
     monkeypatch.setattr(listener, "SWEEP_PERIOD", SHORT_TIMEOUT)
 
     async def scenario():
-        async with Address([].append) as server:
-            return await ending((await server.join(data))[0])
+        async with ListenerServer([].append) as server:
+            return await read_to_end((await server.join(data))[0])
 
     responses = {"HEARTBEAT_TIMEOUT": b"hb_ok\r\nreject\r\n", "LINE_TIMEOUT": b""}
     assert asyncio.run(scenario()) == responses.get(timeout, b"reject\r\n")
@@ -400,11 +405,11 @@
     published, lines = [], STATS.replace(b"fail=0", b"fail=3") * 9 + b"\xfe\xff \r\nwhim\r\n" + STATS
 
     async def scenario():
-        async with Address(published.append) as server:
+        async with ListenerServer(published.append) as server:
             reader, writer = await server.join(b"telemetry site=a\r\n" + lines * 2)
             await wait_until(lambda: len(published) == 2)
             writer.write(b"\x17\x03\r\n" * 3 + STATS)
-            assert await ending(reader) == b""
+            assert await read_to_end(reader) == b""
 
     asyncio.run(scenario())
     assert len(published) == 2
@@ -430,9 +435,9 @@
     process = subprocess.Popen(
         [sys.executable, "-c", LISTENER_PROGRAM], stdin=subprocess.PIPE, stdout=subprocess.PIPE, text=True
     )
-    at = "127.0.0.1", int(process.stdout.readline())
+    address = "127.0.0.1", int(process.stdout.readline())
     process.send_signal(signal.SIGSTOP)  # all connections are pending when it continues
-    clients = [socket.create_connection(at) for _ in range(200)]
+    clients = [socket.create_connection(address) for _ in range(200)]
     process.send_signal(signal.SIGCONT)
     clients[-1].sendall(b"hb\r\n")
     assert clients[-1].recv(7) == b"hb_ok\r\n"
@@ -450,9 +455,9 @@
             raise KeyError("publish failure")
 
     async def scenario():
-        async with Address(publish) as server:
+        async with ListenerServer(publish) as server:
             reader, _ = await server.join(b"telemetry site=a\r\n" + STATS)
-            assert await ending(reader) == b""
+            assert await read_to_end(reader) == b""
             await server.join(b"telemetry site=b\r\n" + STATS)
             await wait_until(lambda: len(published) == 2)
 
@@ -475,7 +480,7 @@
     now, dispatched = [100], []
     brain = RecordingBrain(
         [
-            [gp.SetTimer(100, "now"), A, gp.SendProbe("s-a", 5), B],
+            [gp.SetTimer(100, "now"), ORDER_A, gp.SendProbe("s-a", 5), ORDER_B],
             [gp.SubscribeTaskList(), gp.SetTimer(250, "late")],
         ]
     )
@@ -492,7 +497,7 @@
     decision_loop.publish(gp.ProxyLeft(2))
     for now[0] in (100, 101, 249, 300):
         decision_loop.run_batch()
-    assert dispatched == [gp.SendProbe("s-a", 5), [A, B], "watch"]
+    assert dispatched == [gp.SendProbe("s-a", 5), [ORDER_A, ORDER_B], "watch"]
     assert_trace_matches("decision_loop", brain.batches)
 
 
@@ -528,14 +533,16 @@
 
 def test_an_exception_in_the_brain_ends_the_process_with_an_error(tmp_path):
     completed = subprocess.run(
-        [sys.executable, "-c", FAILING_BRAIN_PROGRAM, written(tmp_path)], capture_output=True, text=True
+        [sys.executable, "-c", FAILING_BRAIN_PROGRAM, write_configuration(tmp_path)],
+        capture_output=True,
+        text=True,
     )
     assert completed.returncode == 1
     assert "event=brain_failed" in completed.stdout and "brain failure" in completed.stdout
 
 
 def test_sigterm_ends_the_process(tmp_path):
-    path = written(tmp_path)
+    path = write_configuration(tmp_path)
 
     async def scenario():
         process = await asyncio.create_subprocess_exec(
@@ -554,37 +561,38 @@
     assert asyncio.run(scenario()) == 0
 
 
-def relay_of(*proxies):
+def make_relay(*proxies):
     """A relay that accepts every request and lists these proxies as joined."""
     joined = [chunk(f"event: attach\ndata: id={p}&site=a&rps=2&new=1\n\n") for p in proxies]
     keep_alives = itertools.cycle([0.1, chunk(":\n\n")])
     return ScriptedServer(
         default_step=lambda request: (
-            itertools.chain(NEWS, joined, keep_alives)
+            itertools.chain(EVENT_STREAM_HEAD, joined, keep_alives)
             if "events" in request
             else accepted_response(request.count(";") + 1)
         )
     )
 
 
-def agent_of(generation):
+def make_agent(generation):
     return ScriptedServer(
-        rows(generation, True, a="active"), default_step=lambda request: [0.1, *rows(generation, False)]
+        task_list_response(generation, True, a="active"),
+        default_step=lambda request: [0.1, *task_list_response(generation, False)],
     )
 
 
 def test_a_reload_moves_to_the_new_addresses_without_repeated_events(tmp_path):
     async def scenario():
         async with (
-            agent_of(42) as agent,
-            agent_of(43) as agent_2,
-            relay_of(4) as relay,
-            relay_of(4, 5) as relay_2,
+            make_agent(42) as agent,
+            make_agent(43) as agent_2,
+            make_relay(4) as relay,
+            make_relay(4, 5) as relay_2,
         ):
 
             def write(agent, relay, *changes):
                 addresses = [f"{host}:{port}" for host, port in (agent.address, relay.address)]
-                return written(
+                return write_configuration(
                     tmp_path, ("discovery", addresses[0]), ("store/address", addresses[1]), *changes
                 ), addresses[0]
 
@@ -600,12 +608,12 @@
             )
             output = []
 
-            async def logged(expected):
+            async def wait_for_log(expected):
                 while not output or expected not in output[-1]:
                     output.append((await process.stdout.readline()).decode())
                     assert output[-1], f"the process ended before it printed {expected}"
 
-            await logged("ProxyJoined(proxy=4")
+            await wait_for_log("ProxyJoined(proxy=4")
             await wait_until(lambda: len(agent.requests) > 1)
             for text, expected in (
                 ("{", "reload_refused"),
@@ -614,19 +622,19 @@
             ):
                 (tmp_path / "given.json").write_text(text) if text else write(agent, relay)
                 process.send_signal(signal.SIGHUP)
-                await logged(expected)
+                await wait_for_log(expected)
             write(agent_2, relay_2, ("listen", "127.0.0.1:1"))
             for _ in range(3):
                 process.send_signal(signal.SIGHUP)
-            await logged("fields=listen")
-            await logged("ProxyJoined(proxy=5")
+            await wait_for_log("fields=listen")
+            await wait_for_log("ProxyJoined(proxy=5")
             await wait_until(lambda: len(agent_2.requests) > 1)
             for writer in (*agent.writers, *relay.writers):
                 writer.transport.abort()
-            await logged("ProbeAnswered")
+            await wait_for_log("ProbeAnswered")
             process.send_signal(signal.SIGHUP)
             process.send_signal(signal.SIGTERM)
-            await logged("event=stopped")
+            await wait_for_log("event=stopped")
             assert agent_2.requests[0] == "GET /discovery/hosts HTTP/1.1"
             assert sum("ProxyJoined" in line for line in output) == 2
             assert not any(word in line for line in output for word in ("InDoubt", "ProxyLeft", "lost"))
@@ -642,11 +650,11 @@
         async with ScriptedServer(accepted_response(1)) as old, ScriptedServer(accepted_response(1)) as new:
             sender = OrderSender(old.address, ["read"], MarkTranslator(0), published.append)
             running = asyncio.create_task(sender.run())
-            sender.submit([A])
+            sender.submit([ORDER_A])
             await wait_until(lambda: old.requests)
             sender.move(new.address)
             await wait_until(lambda: sender.next_connection)
-            sender.submit([B])
+            sender.submit([ORDER_B])
             await wait_until(lambda: new.requests)
             running.cancel()
             return [*old.requests, "--", *new.requests]
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -22,8 +22,16 @@
     host_port,
     socket_host_port,
 )
-from test_codecs import GIVEN, written
-from test_net import NEWS, A, B, agent_of, patient, relay_of, rows  # noqa: F401
+from test_codecs import CONFIGURATION, write_configuration
+from test_net import (  # noqa: F401
+    EVENT_STREAM_HEAD,
+    ORDER_A,
+    ORDER_B,
+    long_timeouts,
+    make_agent,
+    make_relay,
+    task_list_response,
+)
 
 from garnetpaddle import interface as gp
 from garnetpaddle.net import event_subscription, listener, order_codec, prober, task_list_watch
@@ -32,7 +40,7 @@
 from garnetpaddle.net.order_codec import MarkTranslator
 from garnetpaddle.net.order_sender import OrderSender
 
-pytestmark = pytest.mark.usefixtures("patient")
+pytestmark = pytest.mark.usefixtures("long_timeouts")
 
 
 def fifo(tmp_path):
@@ -80,7 +88,7 @@
             for signals in ([signal.SIGHUP], []):
                 descriptor = await open_for_writing(path)
                 program.signal(*signals)
-                os.write(descriptor, json.dumps(GIVEN).encode())
+                os.write(descriptor, json.dumps(CONFIGURATION).encode())
                 os.close(descriptor)
                 await program.wait_for_log("event=serving" if signals else "event=reloaded")
             program.signal(signal.SIGTERM)
@@ -91,7 +99,7 @@
 
 def test_second_sigterm_is_ignored(tmp_path):
     async def scenario():
-        async with AssignerProgram(written(tmp_path)) as program:
+        async with AssignerProgram(write_configuration(tmp_path)) as program:
             await program.wait_for_log("event=serving")
             program.signal(signal.SIGTERM)
             await program.wait_for_log("event=stopped")
@@ -106,9 +114,11 @@
     """The call is sent completely but not answered, so the relay may or may not have applied it."""
 
     async def scenario():
-        async with agent_of(42) as agent, relay_of(4, 5) as relay:
+        async with make_agent(42) as agent, make_relay(4, 5) as relay:
             relay.default_step, requests = without_call_answers(relay.default_step), relay.requests
-            path = written(tmp_path, ("discovery", host_port(agent)), ("store/address", host_port(relay)))
+            path = write_configuration(
+                tmp_path, ("discovery", host_port(agent)), ("store/address", host_port(relay))
+            )
             async with AssignerProgram(path) as program:
                 await wait_until(lambda: any("POST" in request for request in requests))
                 program.signal(signal.SIGTERM)
@@ -128,7 +138,7 @@
     async def scenario():
         with socket.create_server(("127.0.0.1", 0)) as occupied_socket:
             async with AssignerProgram(
-                written(tmp_path, ("listen", socket_host_port(occupied_socket)))
+                write_configuration(tmp_path, ("listen", socket_host_port(occupied_socket)))
             ) as program:
                 await program.wait_for_log("event=listen_waits")
                 if is_released:
@@ -159,7 +169,9 @@
         with socket.create_server(("127.0.0.1", 0)) as free_socket:
             address = socket_host_port(free_socket)
         read_end, write_end = os.pipe()
-        async with AssignerProgram(written(tmp_path, ("listen", address)), stdout=write_end) as program:
+        async with AssignerProgram(
+            write_configuration(tmp_path, ("listen", address)), stdout=write_end
+        ) as program:
             os.close(write_end)
             output = b""
             while b"event=serving" not in output:
@@ -190,10 +202,10 @@
     events = []
 
     async def scenario():
-        delayed_answer, gate = delayed_response(rows(51, False, a="leaving"))
+        delayed_answer, gate = delayed_response(task_list_response(51, False, a="leaving"))
         async with (
-            ScriptedServer(rows(50, True, a="active"), delayed_answer) as old_peer,
-            ScriptedServer(rows(50, True, a="active"), default_step=lambda _: None) as new_peer,
+            ScriptedServer(task_list_response(50, True, a="active"), delayed_answer) as old_peer,
+            ScriptedServer(task_list_response(50, True, a="active"), default_step=lambda _: None) as new_peer,
         ):
             watch = new_watch(old_peer, events)
             running = asyncio.create_task(watch.run())
@@ -220,9 +232,9 @@
 
     async def scenario():
         script = [
-            rows(50, True, a="leaving"),
-            rows(48, True, a="active", b="active"),
-            rows(51, False, a="leaving", b="left"),
+            task_list_response(50, True, a="leaving"),
+            task_list_response(48, True, a="active", b="active"),
+            task_list_response(51, False, a="leaving", b="left"),
         ]
         async with ScriptedServer(*script, default_step=lambda _: None) as agent:
             running = asyncio.create_task(new_watch(agent, events, generation=41).run())
@@ -246,10 +258,15 @@
     events = []
 
     async def scenario():
-        delayed_answer, gate = delayed_response(rows(50, False, a="leaving", b="left"))
-        older = rows(48, True, a="active", b="active"), rows(49, False, b="leaving")
+        delayed_answer, gate = delayed_response(task_list_response(50, False, a="leaving", b="left"))
+        older = (
+            task_list_response(48, True, a="active", b="active"),
+            task_list_response(49, False, b="leaving"),
+        )
         async with (
-            ScriptedServer(rows(50, True, a="leaving"), default_step=lambda _: None) as old_peer,
+            ScriptedServer(
+                task_list_response(50, True, a="leaving"), default_step=lambda _: None
+            ) as old_peer,
             ScriptedServer(*older, delayed_answer, default_step=lambda _: None) as new_peer,
         ):
             watch = new_watch(old_peer, events, generation=41)
@@ -272,10 +289,10 @@
 
     async def scenario():
         script = [
-            rows(50, True, a="active"),
-            rows(3, False),
-            rows(4, False, b="active"),
-            rows(4, True, b="active"),
+            task_list_response(50, True, a="active"),
+            task_list_response(3, False),
+            task_list_response(4, False, b="active"),
+            task_list_response(4, True, b="active"),
         ]
         async with ScriptedServer(*script, default_step=lambda _: None) as agent:
             watch = new_watch(agent, events)
@@ -296,8 +313,12 @@
     events, original_poll, failed = [], task_list_watch.Agent.poll, []
 
     async def scenario():
-        async with ScriptedServer(rows(50, True, a="active"), default_step=lambda _: None) as old_peer:
-            new_peer = ScriptedServer("break", rows(50, True, a="active"), default_step=lambda _: None)
+        async with ScriptedServer(
+            task_list_response(50, True, a="active"), default_step=lambda _: None
+        ) as old_peer:
+            new_peer = ScriptedServer(
+                "break", task_list_response(50, True, a="active"), default_step=lambda _: None
+            )
             async with new_peer:
                 pass
             watch = new_watch(old_peer, events)
@@ -330,8 +351,8 @@
 
     async def scenario():
         full_list, (delayed_answer, gate) = (
-            rows(50, True, a="active"),
-            delayed_response(rows(60, True, z="active")),
+            task_list_response(50, True, a="active"),
+            delayed_response(task_list_response(60, True, z="active")),
         )
         async with (
             ScriptedServer(
@@ -357,9 +378,15 @@
 @pytest.mark.parametrize(
     ("answer", "is_applied"),
     [
-        ([*rows(51, False, a="leaving"), "end"], True),  # complete answer and end of stream in one read
-        ([rows(51, False, a="leaving")[0][:-9], "end"], False),  # truncated within the body
-        ([rows(51, False, a="leaving")[0][:40], "break"], False),  # connection reset within the headers
+        (
+            [*task_list_response(51, False, a="leaving"), "end"],
+            True,
+        ),  # complete answer and end of stream in one read
+        ([task_list_response(51, False, a="leaving")[0][:-9], "end"], False),  # truncated within the body
+        (
+            [task_list_response(51, False, a="leaving")[0][:40], "break"],
+            False,
+        ),  # connection reset within the headers
     ],
 )
 def test_answer_is_applied_only_if_complete(answer, is_applied):
@@ -372,7 +399,10 @@
 
     async def scenario():
         async with ScriptedServer(
-            rows(50, True, a="active"), partial_answer, rows(52, False), default_step=lambda _: None
+            task_list_response(50, True, a="active"),
+            partial_answer,
+            task_list_response(52, False),
+            default_step=lambda _: None,
         ) as agent:
             running = asyncio.create_task(new_watch(agent, events).run())
             await wait_until(lambda: len(agent.requests) == 4)
@@ -401,7 +431,7 @@
         self.writers, self.ended = [], 0
 
     async def __call__(self, writer):
-        writer.write(NEWS[0])
+        writer.write(EVENT_STREAM_HEAD[0])
         self.writers.append(writer)
         await writer.wait_closed()
 
@@ -550,14 +580,14 @@
             with unreachable_address(listens=fault == "silent") as new_peer:
                 sender = OrderSender(old_peer.address, ["read"], MarkTranslator(0), events.append)
                 running = asyncio.create_task(sender.run())
-                sender.submit([A])
+                sender.submit([ORDER_A])
                 await wait_until(lambda: len(old_peer.requests) == 1)
                 sender.move(new_peer.getsockname())
-                sender.submit([B])
+                sender.submit([ORDER_B])
                 await wait_until(lambda: len(old_peer.requests) == 2)
                 old_peer.writers[0].transport.abort()  # the reconnect does not use the new address either
                 await wait_until(lambda: not sender.connection.is_usable())
-                sender.submit([A, B])
+                sender.submit([ORDER_A, ORDER_B])
                 await wait_until(lambda: len(old_peer.requests) == 3)
                 sender.move_task.cancel()
                 running.cancel()
@@ -595,9 +625,9 @@
         async with ScriptedServer(answer_and_close, accepted_response(1)) as relay:
             sender = OrderSender(relay.address, ["read"], MarkTranslator(0), events.append)
             running = asyncio.create_task(sender.run())
-            sender.submit([A])
+            sender.submit([ORDER_A])
             await wait_until(lambda: sender.connection and not sender.connection.is_usable())
-            sender.submit([B])
+            sender.submit([ORDER_B])
             await wait_until(lambda: len(relay.requests) == 2)
             running.cancel()
             return len(relay.writers)
@@ -611,7 +641,7 @@
     call would send each proxy a message that the Brain does not account for: three such calls in a row
     exceeded the queue limit."""
     fence, put, bind, after = parts = order_codec.split_into_requests(
-        [A, gp.BindProxy(4, 1), gp.BindProxy(5, 1), gp.RequestAcknowledgement(3, False)],
+        [ORDER_A, gp.BindProxy(4, 1), gp.BindProxy(5, 1), gp.RequestAcknowledgement(3, False)],
         ["read"],
         MarkTranslator(0),
     )[0]
@@ -682,13 +712,13 @@
     async def scenario():
         with socket.create_server(("127.0.0.1", 0)) as free_socket:
             address = socket_host_port(free_socket)
-        async with agent_of(42) as agent, relay_of(4) as relay:
+        async with make_agent(42) as agent, make_relay(4) as relay:
             changes = (
                 ("discovery", host_port(agent)),
                 ("store/address", host_port(relay)),
                 ("listen", address),
             )
-            async with AssignerProgram(written(tmp_path, *changes)) as program:
+            async with AssignerProgram(write_configuration(tmp_path, *changes)) as program:
                 await program.wait_for_log("event=news_open")
                 await wait_until(lambda: any("attach,4" in request for request in relay.requests))
 
@@ -739,7 +769,7 @@
     ],
 )
 def test_contradictory_settings_are_refused_at_start(keys, value, field, tmp_path):
-    path = written(tmp_path, (keys, value))
+    path = write_configuration(tmp_path, (keys, value))
     result = subprocess.run(
         [sys.executable, "-m", "garnetpaddle", "serve"],
         capture_output=True,
