--- a/tests/front_end_harness.py
+++ b/tests/front_end_harness.py
@@ -81,9 +81,9 @@
         self.follower_events.clear()
         super().handle(*events)
         self.all_orders = [*getattr(self, "all_orders", []), *self.last_orders] if not self.front_ends else []
-        ours = gp.SetTimer | gp.LogMessage | gp.SendProbe
+        local_order_types = gp.SetTimer | gp.LogMessage | gp.SendProbe
         self.platform_replies.append(
-            FrontEnds.platform_orders([o for o in self.last_orders if not isinstance(o, ours)])
+            FrontEnds.platform_orders([o for o in self.last_orders if not isinstance(o, local_order_types)])
         )
         for order in self.last_orders:
             match order:
--- a/tests/helper.py
+++ b/tests/helper.py
@@ -145,9 +145,9 @@
                 case gp.LogMessage():
                     entries.append(f'"{o.text}"')
                 case gp.RequestAcknowledgement() if self.acknowledges:
-                    asked = self.brain.channel_proxies if o.all_proxies else reached
+                    acknowledging = self.brain.channel_proxies if o.all_proxies else reached
                     self.pending_events += [
-                        (self.now + 3_000, gp.OrdersApplied(p, o.mark, 3_000)) for p in asked
+                        (self.now + 3_000, gp.OrdersApplied(p, o.mark, 3_000)) for p in acknowledging
                     ]
                 case gp.SendProbe():
                     outcome = self.probe_outcomes.get(o.task, "ok")
@@ -171,7 +171,7 @@
         """Tells the Brain that the orders of the last batch are lost, or `perhaps` carried out."""
         self.add_label(f"orders lost, {'possibly' if perhaps else 'not'} carried out")
         self.handle(gp.OrdersLost(tuple(self.last_orders), perhaps))
-        self.add_label(f"reckoned to wait: {self.brain.queue:.0f} lines")
+        self.add_label(f"estimated queue: {self.brain.queue:.0f} lines")
 
     def add_label(self, text):
         self.trace.append(f"       -- {text}")
--- a/tests/test_brain.py
+++ b/tests/test_brain.py
@@ -8,7 +8,7 @@
 from garnetpaddle import interface as gp
 
 
-def laid(brain):
+def table_weights(brain):
     return {k: weight for table in brain.tables for k, weight in table.weights.items()}
 
 
@@ -67,7 +67,7 @@
     harness.assert_trace_matches("drain")
 
 
-def test_sums_from_before_a_restart_are_no_evidence_against_the_task():
+def test_reports_from_before_a_restart_are_no_evidence_against_the_task():
     harness = BrainHarness()
     harness.advance(3)
     harness.reported_sums["a"] = (10, 10, 0)
@@ -76,7 +76,7 @@
     harness.advance(1)
     harness.reported_sums["a"] = (3, 0, 200)
     harness.advance(4)
-    harness.assert_trace_matches("sums_before_restart")
+    harness.assert_trace_matches("reports_before_restart")
 
 
 def test_a_probe_started_before_a_restart_is_no_evidence_against_the_task():
@@ -85,11 +85,11 @@
     harness.advance(3)
     harness.handle(list_changes(task_line("b", started=2.9)))
     harness.handle(*[gp.ProbeFinished("b", 5_000, "timeout", {})] * 3)
-    harness.add_label(f"doubt {harness.brain.tasks['b'].fault_evidence:.2f}")
+    harness.add_label(f"fault evidence {harness.brain.tasks['b'].fault_evidence:.2f}")
     harness.now += 6_000
     harness.handle(gp.ProbeFinished("b", 5_000, "timeout", {}))
-    harness.add_label(f"doubt {harness.brain.tasks['b'].fault_evidence:.2f}")
-    assert harness.trace[-2:] == ["       -- doubt 0.00", "       -- doubt 3.22"]
+    harness.add_label(f"fault evidence {harness.brain.tasks['b'].fault_evidence:.2f}")
+    assert harness.trace[-2:] == ["       -- fault evidence 0.00", "       -- fault evidence 3.22"]
 
 
 @pytest.mark.parametrize(
@@ -112,10 +112,10 @@
     )
 
 
-@pytest.mark.parametrize("indicator", ["sums", "probes", "busy_cores"])
+@pytest.mark.parametrize("indicator", ["reports", "probes", "busy_cores"])
 def test_cold_tasks_get_no_line_in_an_overload(indicator):
     harness = BrainHarness()
-    if indicator == "sums":
+    if indicator == "reports":
         harness.reported_sums = {t: (20, 9, 900) for t in "abcd"}
     elif indicator == "probes":
         harness.probe_outcomes = dict.fromkeys("abcd", "timeout")
@@ -299,7 +299,7 @@
     harness.assert_trace_matches("resubscribe_backoff")
 
 
-def test_an_empty_list_removes_the_lines_and_sums_of_gone_tasks_are_ignored():
+def test_an_empty_list_removes_the_lines_and_reports_of_gone_tasks_are_ignored():
     harness = BrainHarness()
     harness.advance(1)
     harness.handle(gp.TaskListReceived("full", ()))
@@ -340,15 +340,15 @@
         "abcdefghijklmnopqrst", 10, queue_limit=900.0, channel_lines=400.0, acknowledges=False
     )
     harness.handle(*(gp.ProxyJoined(p, 5.0, False, "z") for p in range(10, 60)))
-    harness.add_label(f"60 proxies, reckoned to wait: {harness.brain.queue:.0f} of 900 lines")
+    harness.add_label(f"60 proxies, estimated queue: {harness.brain.queue:.0f} of 900 lines")
     for names in ("abcdef", "ghij", "klmn"):
         harness.handle(list_changes(*(task_line(name, "draining") for name in names)))
         harness.advance(0.1)
         assert harness.brain.queue <= 900
-    harness.add_label(f"14 tasks leave, reckoned to wait: {harness.brain.queue:.0f} lines")
+    harness.add_label(f"14 tasks leave, estimated queue: {harness.brain.queue:.0f} lines")
     mark = harness.brain.mark
     harness.handle(*(gp.OrdersApplied(p, mark, 0) for p in range(50, 52)))
-    harness.add_label(f"two proxies answer to what shut tasks out: {harness.brain.queue:.0f} lines")
+    harness.add_label(f"two proxies acknowledge the withdrawals: {harness.brain.queue:.0f} lines")
     harness.assert_trace_matches("withdrawals_within_queue_limit")
 
 
@@ -363,14 +363,14 @@
             f"table {table.number}: {len(table.weights)} lines, {len(table.channel_proxies)} proxies"
         )
     harness.advance(1)
-    one = harness.brain.tables[1]
-    harness.handle(list_changes(*(task_line(k, "draining") for k in [*one.weights][:-1])))
+    second_table = harness.brain.tables[1]
+    harness.handle(list_changes(*(task_line(k, "draining") for k in [*second_table.weights][:-1])))
     harness.add_label(
         "all but one task of table 2 drain: it gets lines of the largest; few others get messages"
     )
     harness.advance(4)
-    held = [k for table in harness.brain.tables for k in table.weights]
-    assert sorted(held) == sorted(set(held)) and all(len(t.weights) > 1 for t in harness.brain.tables)
+    listed = [k for table in harness.brain.tables for k in table.weights]
+    assert sorted(listed) == sorted(set(listed)) and all(len(t.weights) > 1 for t in harness.brain.tables)
     harness.assert_trace_matches("smaller_tables")
 
 
@@ -389,18 +389,18 @@
     harness.handle(gp.ProxyJoined(60, 5.0, True, "z"))
     harness.handle(gp.OrdersApplied(60, harness.brain.mark, 0))
     harness.add_label(
-        f"one more comes and answers first, as some streams have broken: {harness.brain.queue:.0f}"
+        f"one more joins and acknowledges first, as some streams have broken: {harness.brain.queue:.0f}"
     )
     harness.handle(*(gp.ProxyLeft(p) for p in range(30, 50)))
     harness.handle(*(gp.ProxyJoined(p, 5.0, True, "z") for p in range(30, 34)))
-    harness.add_label(f"20 leave, 4 come again: {harness.brain.queue:.0f}")
+    harness.add_label(f"20 leave, 4 rejoin: {harness.brain.queue:.0f}")
     mark = harness.brain.mark
     harness.handle(gp.OrdersApplied(30, mark, 0))
-    harness.add_label(f"one of these answers before the others: {harness.brain.queue:.0f}")
+    harness.add_label(f"one of these acknowledges before the others: {harness.brain.queue:.0f}")
     harness.now += 110_000
     harness.brain.queue_updated_at = harness.now
     harness.handle(gp.OrdersApplied(31, mark, 0))
-    harness.add_label(f"long after, another: {harness.brain.queue:.0f}")
+    harness.add_label(f"long after, another acknowledges: {harness.brain.queue:.0f}")
     harness.assert_trace_matches("broken_stream")
 
 
@@ -543,10 +543,12 @@
     for rank in range(2):
         harness = BrainHarness(tasks=names, proxies=4, total=8, queue_limit=160.0, assigners=2, rank=rank)
         harness.advance(3)
-        assert sorted(laid(harness.brain)) == names[18 * rank :][:18]
+        assert sorted(table_weights(harness.brain)) == names[18 * rank :][:18]
     harness.handle(*(gp.ProxyJoined(p, 20.0, False, "z") for p in range(4, 8)))
     harness.advance(30)
-    assert sorted(laid(harness.brain)) == names  # the other assigner failed; its proxies have joined this one
+    assert (
+        sorted(table_weights(harness.brain)) == names
+    )  # the other assigner failed; its proxies have joined this one
 
 
 def test_parts_are_also_used_where_all_tasks_fit_the_queue_but_take_the_channel_too_long():
@@ -555,17 +557,18 @@
     names = [f"t{n:02}" for n in range(36)]
     harness = BrainHarness(names, 20, total=40, queue_limit=1_000.0, channel_lines=200.0, assigners=2)
     harness.advance(6)
-    assert sorted(laid(harness.brain)) == names[:18] and len(harness.brain.tables) == 1
+    assert sorted(table_weights(harness.brain)) == names[:18] and len(harness.brain.tables) == 1
 
 
 def test_health_changes_are_sent_together_once_little_is_queued():
-    """Pushes of one line each filled the channel with heads, and none took effect until the last had left."""
+    """Pushes of one line each filled the channel with message overhead, and none took effect until the last
+    had left."""
     harness = BrainHarness("abcdefghij", 31, queue_limit=4_000.0, channel_lines=165.0)
     harness.advance(5)
     harness.pending_events, harness.acknowledges = [], False
-    for bad in "ab":
-        harness.handle(*(gp.ProbeFinished(bad, 6_000, "timeout", {}) for _ in range(5)))
-        harness.add_label(f"{bad} fails its probes; {harness.brain.queue:.0f} lines wait")
+    for failing in "ab":
+        harness.handle(*(gp.ProbeFinished(failing, 6_000, "timeout", {}) for _ in range(5)))
+        harness.add_label(f"{failing} fails its probes; {harness.brain.queue:.0f} lines wait")
         harness.advance(0.5)
     harness.handle(*(gp.OrdersApplied(p, harness.brain.mark, 0) for p in range(31)))
     harness.advance(0.2)
@@ -606,7 +609,7 @@
 def test_an_ejection_lasts_report_periods_and_not_rounds_of_reports():
     harness = BrainHarness()
     harness.advance(3)
-    harness.brain.report_round = 90_000  # so many pairs that each is told of every 9 s
+    harness.brain.report_round = 90_000  # so many pairs that each is reported every 9 s
     harness.handle(*(gp.ProbeFinished("a", 6_000, "timeout", {}) for _ in range(5)))
     harness.advance(4)
     assert [entry[7:] for entry in harness.trace if "let back" in entry][0].startswith("a=")
@@ -640,7 +643,7 @@
     names = [f"t{n:02}" for n in range(36)]
     harness = BrainHarness(names, 5, total=8, queue_limit=160.0, assigners=2)
     harness.advance(6)
-    assert len(laid(harness.brain)) == 23
+    assert len(table_weights(harness.brain)) == 23
 
 
 def test_weights_of_cold_tasks_shrink_when_warm_tasks_drain():
@@ -679,18 +682,18 @@
     harness.handle(*(gp.ProxyLeft(p) for p in range(4)))
     harness.reported_sums = {t: (20, 12, 300) for t in names[:18]}
     harness.advance(2)
-    assert len(laid(harness.brain)) == 18 and harness.brain.usual_failure_share > 0.3
+    assert len(table_weights(harness.brain)) == 18 and harness.brain.usual_failure_share > 0.3
 
 
-def test_calls_in_flight_show_an_overload_before_late_sums_do():
+def test_calls_in_flight_show_an_overload_before_late_reports_do():
     harness = BrainHarness()
     harness.load = {"in_hand": 2.0}
     harness.advance(4)
     harness.handle(list_changes(task_line("e", started=4)))
     harness.advance(4)
-    assert "e" in laid(harness.brain)
+    assert "e" in table_weights(harness.brain)
     harness.handle(*(gp.ProbeFinished(t, 5_000, "ok", {"in_hand": 30.0}) for t in "abcde"))
-    assert "e" not in laid(harness.brain)
+    assert "e" not in table_weights(harness.brain)
 
 
 def test_weights_of_cold_tasks_grow_only_after_all_warm_changes_fit():
@@ -746,7 +749,7 @@
     harness = BrainHarness(level_kind="fraction")
     harness.advance(2)
     harness.handle(gp.ChannelStateUnknown(), gp.ProxyJoined(1, 20.0, True, "z"), gp.ProxyLeft(0))
-    harness.add_label(f"reckoned to wait: {harness.brain.queue:.0f} lines")
+    harness.add_label(f"estimated queue: {harness.brain.queue:.0f} lines")
     harness.assert_trace_matches("orders_in_doubt")
 
 
@@ -756,12 +759,12 @@
     harness = BrainHarness(proxies=20)
     harness.advance(3)
     harness.handle(gp.ChannelStateUnknown())
-    harness.add_label(f"reckoned to wait: {harness.brain.queue:.0f} lines")
+    harness.add_label(f"estimated queue: {harness.brain.queue:.0f} lines")
     for named in (range(12), range(12, 20)):
         harness.handle(*(gp.ProxyJoined(p, 20.0, False, "z") for p in named))
-        harness.add_label(f"reckoned to wait: {harness.brain.queue:.0f} lines")
+        harness.add_label(f"estimated queue: {harness.brain.queue:.0f} lines")
     harness.handle(list_changes(task_line("a", "draining")))
-    harness.add_label(f"reckoned to wait: {harness.brain.queue:.0f} lines")
+    harness.add_label(f"estimated queue: {harness.brain.queue:.0f} lines")
     harness.assert_trace_matches("binds_after_stream_gap")
 
 
@@ -785,7 +788,7 @@
     harness.assert_trace_matches("all_tasks_replaced")
 
 
-def test_missing_sums_or_sums_without_tries_do_not_make_the_next_ones_count_as_old():
+def test_missing_reports_or_reports_without_tries_do_not_make_the_next_ones_count_as_old():
     harness = BrainHarness(tasks="abcdef")
     harness.advance(4)
     silent = {k: harness.reported_sums.pop(k) for k in "ab"}
@@ -793,20 +796,23 @@
     harness.reported_sums = silent | harness.reported_sums | {"f": (10, 0, 800)}
     harness.advance(8)
     assert (
-        set(harness.brain.counted_until.values()) == {harness.now - 10_000} and laid(harness.brain)["f"] < 0.7
+        set(harness.brain.counted_until.values()) == {harness.now - 10_000}
+        and table_weights(harness.brain)["f"] < 0.7
     )
 
 
 @pytest.mark.parametrize("gone_binds", [True, False])
 def test_state_of_tasks_that_left_for_good_is_removed(gone_binds):
-    harness, kept = BrainHarness(queue_limit=400.0, dropped_counts_as_gone=gone_binds), []
+    harness, container_sizes = BrainHarness(queue_limit=400.0, dropped_counts_as_gone=gone_binds), []
     for n, old in enumerate([*"abcd", *(f"t{n}" for n in range(160))]):
         if n % 9 == 0:  # some join while there is no room: tasks are withdrawn, and let back once removed
             harness.handle(*(gp.ProxyJoined(p, 5.0, True, "z") for p in range(n % 5, 12)))
         harness.probe_outcomes[old] = "timeout"
         replace_task(harness, old, f"t{n}", 2)
-        kept.append({k: len(v) for k, v in vars(harness.brain).items() if isinstance(v, dict | list)})
-    assert all(size <= 64 for size in kept[-1].values()), kept[-1]
+        container_sizes.append(
+            {k: len(v) for k, v in vars(harness.brain).items() if isinstance(v, dict | list)}
+        )
+    assert all(size <= 64 for size in container_sizes[-1].values()), container_sizes[-1]
     assert set(harness.brain.tasks) <= set(harness.brain.lines) == set(harness.brain.changed_at)
 
 
@@ -820,7 +826,7 @@
     harness.assert_trace_matches("weights_among_drains")
 
 
-def test_uninformative_probes_and_invalid_sums_are_no_evidence():
+def test_uninformative_probes_and_invalid_reports_are_no_evidence():
     harness, other = BrainHarness(), BrainHarness()
     for _ in range(6):
         harness.advance(1)
@@ -843,16 +849,14 @@
     for name in "hgf":
         harness.handle(list_changes(task_line(name, "draining")))
         harness.advance(0.9)
-    harness.add_label(f"reckoned to wait: {harness.brain.queue:.0f} lines")
+    harness.add_label(f"estimated queue: {harness.brain.queue:.0f} lines")
     harness.advance(5)
     harness.add_label(f"and 5 s later, with nothing heard: {harness.brain.queue:.0f}")
     harness.acknowledges = True
     harness.handle(gp.ChannelStateUnknown(), *(gp.ProxyJoined(p, 5.0, False, "z") for p in range(20)))
     count = sum(p.bound for p in harness.brain.proxies.values())
     number = harness.brain.tables[0].number
-    harness.add_label(
-        f"reckoned to wait: {harness.brain.queue:.0f} lines for {count} bound to table {number}"
-    )
+    harness.add_label(f"estimated queue: {harness.brain.queue:.0f} lines for {count} bound to table {number}")
     harness.advance(4)
     harness.assert_trace_matches("estimated_queue")
 
@@ -883,7 +887,7 @@
     harness.advance(1)
     harness.handle(list_changes(task_line("e", "draining")))
     harness.advance(6)
-    harness.add_label("the same where no sums arrive")
+    harness.add_label("the same where no reports arrive")
     harness.handle(*(gp.ProxyLeft(p) for p in range(3)))
     silent = BrainHarness(proxies=0)
     silent.reported_sums = {}
@@ -904,7 +908,7 @@
     assert {t.share for t in tasks} == {1.0}
 
 
-class Relay:
+class LossyRelay:
     """Applies orders or loses them at random, and keeps the resulting state."""
 
     def __init__(self, seed):
@@ -927,9 +931,9 @@
 
 @pytest.mark.parametrize("seed", range(12))
 def test_after_lost_orders_the_relay_ends_with_the_table_that_the_brain_holds(seed):
-    relay, draw = Relay(seed), random.Random(seed).random
+    relay, draw = LossyRelay(seed), random.Random(seed).random
     harness = BrainHarness(tasks="abcd", proxies=0, queue_limit=400.0, channel_lines=400.0)
-    relay.tables = {1: dict(laid(harness.brain))}
+    relay.tables = {1: dict(table_weights(harness.brain))}
     for turn in range(400):
         reliable = turn > 250
         events = relay.receive(harness.last_orders, 0 if reliable else 0.4)
@@ -952,7 +956,7 @@
     brain = harness.brain
     number = brain.tables[0].number
     applied_weights = {k: weight for k, weight in relay.tables[number].items() if weight}
-    assert applied_weights == {k: round(weight, 3) for k, weight in laid(brain).items()}
+    assert applied_weights == {k: round(weight, 3) for k, weight in table_weights(brain).items()}
     assert relay.bound == dict.fromkeys(relay.bound, number) and set(relay.bound) == set(brain.proxies)
     assert all(p.bound for p in brain.proxies.values())
     assert not any(relay.withdrawn.get(k) for k in applied_weights)
@@ -993,9 +997,9 @@
 def test_an_external_followers_acknowledgement_does_not_change_the_queue():
     harness = harness_with_follower(acknowledges=False)
     harness.advance(1)
-    waiting = harness.brain.queue
+    queue_before = harness.brain.queue
     harness.handle(gp.OrdersApplied(70_000, harness.brain.mark, 5))
-    assert harness.brain.queue == waiting > 0
+    assert harness.brain.queue == queue_before > 0
 
 
 def test_external_followers_cause_no_withdrawals_and_wait_like_proxies_after_a_restart():
@@ -1010,7 +1014,7 @@
     assert harness.brain.proxies[70_000].bound and not harness.brain.withdrawn
 
 
-def test_sums_count_from_the_first_proxy_behind_the_channel():
+def test_reports_count_from_the_first_proxy_behind_the_channel():
     """An external follower that joined hours earlier does not make the first reports look late."""
     harness = BrainHarness(proxies=0)
     harness.handle(gp.ProxyJoined(70_000, 5.0, True, "z", external=True))
--- a/tests/test_fault_scenarios.py
+++ b/tests/test_fault_scenarios.py
@@ -425,9 +425,11 @@
         )
         rates_by_task = collections.Counter()
         for assigner, count, rate in zip(self.assigners, self.proxy_counts, self.call_rates, strict=True):
-            laid = {task: weight for table in assigner.brain.tables for task, weight in table.weights.items()}
-            for task, weight in laid.items():
-                rates_by_task[task] += count * rate * weight / sum(laid.values())
+            table_weights = {
+                task: weight for table in assigner.brain.tables for task, weight in table.weights.items()
+            }
+            for task, weight in table_weights.items():
+                rates_by_task[task] += count * rate * weight / sum(table_weights.values())
         self.window.append((rates_by_task, PARAMETERS.fall_multiple * capacity))
         return rates_by_task
 
--- a/tests/test_task_registry.py
+++ b/tests/test_task_registry.py
@@ -16,7 +16,7 @@
 from garnetpaddle.task_registry import TaskRegistry
 
 PROXIES = 12  # of this assigner
-PROBED = 10  # tasks in its part: there is one assigner for every ten tasks
+OWN_TASKS = 10  # tasks in its part: there is one assigner for every ten tasks
 
 
 def ids(tasks):
@@ -83,7 +83,7 @@
     assert registry.shares() == {"m": [1.5], "s": [0.5]}
 
 
-def steps_of(function):
+def count_executed_lines(function):
     """Counts the lines of the program that a function executes, each iteration: the same on every machine."""
     counter = collections.Counter()
 
@@ -108,7 +108,7 @@
 
     def __init__(self, tasks):
         self.names = [f"t{number:05}" for number in range(tasks)]
-        assigners = max(tasks // PROBED, 1)
+        assigners = max(tasks // OWN_TASKS, 1)
         parameters = dataclasses.replace(
             PARAMETERS,
             proxies=PROXIES * assigners,
@@ -120,7 +120,7 @@
         self.handle_batch(gp.TaskListReceived("full", tuple(task_line(name) for name in self.names)))
         self.handle_batch(*(gp.ProxyJoined(proxy, 5.0, True, "z") for proxy in range(PROXIES)))
         for _ in range(90):
-            self.beat()
+            self.tick()
 
     def handle_batch(self, *events):
         orders = self.brain.handle(self.now, events)
@@ -132,7 +132,7 @@
             gp.OrdersApplied(proxy, mark, 500) for mark in marks for proxy in range(PROXIES)
         ]
 
-    def beat(self, *events):
+    def tick(self, *events):
         self.now += 1_000
         pending, self.pending_events = self.pending_events, []
         self.handle_batch(*pending, *events)
@@ -143,7 +143,7 @@
     "a report": lambda assigner: (
         gp.TaskReport(assigner.brain.own_tasks[0].id, "z", 10, 0, 200.0, 10_000, {}),
     ),
-    "an answer": lambda assigner: (gp.OrdersApplied(0, assigner.brain.mark, 500),),
+    "an acknowledgement": lambda assigner: (gp.OrdersApplied(0, assigner.brain.mark, 500),),
     "a join": lambda assigner: (gp.ProxyJoined(0, 5.0, True, "z"),),
     "a probe": lambda assigner: (gp.ProbeFinished(assigner.brain.own_tasks[0].id, 500, "ok", {}),),
 }
@@ -155,20 +155,20 @@
     work = {}
     for tasks in (100, 4_000):
         assigner = Assigner(tasks)
-        assert len(assigner.brain.own_tasks) == PROBED
+        assert len(assigner.brain.own_tasks) == OWN_TASKS
         events = CHANGES[change](assigner)
-        work[tasks] = sum(steps_of(functools.partial(assigner.beat, *events)) for _ in range(10))
+        work[tasks] = sum(count_executed_lines(functools.partial(assigner.tick, *events)) for _ in range(10))
     assert work[4_000] < 1.5 * work[100], work
 
 
 def test_only_tasks_of_the_own_part_are_probed_and_keep_a_timer():
     assigner = Assigner(4_000)
-    probed = [act for _, _, act, _ in assigner.brain.timers if act is Brain.probe]
-    assert len(probed) == PROBED
-    assigner.beat(gp.TaskListReceived("changes", (task_line(assigner.brain.own_tasks[0].id, "draining"),)))
+    probed = [action for _, _, action, _ in assigner.brain.timers if action is Brain.probe]
+    assert len(probed) == OWN_TASKS
+    assigner.tick(gp.TaskListReceived("changes", (task_line(assigner.brain.own_tasks[0].id, "draining"),)))
     for _ in range(12):
-        assigner.beat()
-    probed = [task.id for _, _, act, task in assigner.brain.timers if act is Brain.probe]
+        assigner.tick()
+    probed = [task.id for _, _, action, task in assigner.brain.timers if action is Brain.probe]
     assert sorted(probed) == sorted(task.id for task in assigner.brain.own_tasks)
 
 
@@ -179,7 +179,7 @@
         listed = gp.TaskListReceived("full", tuple(task_line(f"t{number:05}") for number in range(tasks)))
         brain = Brain(dataclasses.replace(PARAMETERS, proxies=4_000, assigners=400, channel_lines=20.0), 7)
         brain.handle(0, [gp.TaskListReceived("full", listed.lines[: tasks // 2])])
-        work[tasks] = steps_of(lambda brain=brain, listed=listed: brain.handle(10, [listed]))
+        work[tasks] = count_executed_lines(lambda brain=brain, listed=listed: brain.handle(10, [listed]))
     assert work[4_000] < 10 * work[500], work
 
 
