--- a/tests/test_fault_scenarios.py
+++ b/tests/test_fault_scenarios.py
@@ -11,25 +11,24 @@
 
 import helper
 import pytest
-from helper import TERMS, Play, StandIn, changes, shown, until
-from helper import line as task_line
+from helper import PARAMETERS, BrainHarness, ScriptedServer, format_event, list_changes, task_line, wait_until
 from peers import (
-    CAUGHT_UP,
-    CHUNKED,
-    ENDED,
-    GRACE,
-    DiscoveryAgent,
-    Program,
-    Relay,
-    at,
-    at_socket,
+    CHUNKED_HEAD,
+    CLEAN_EXIT,
+    DEFAULT_GRACE_PERIOD,
+    RESTART_TIMEOUT,
+    AssignerProgram,
+    FakeDiscovery,
+    FakeRelay,
+    accepted_response,
     chunk,
-    listed,
-    taken,
-    within,
+    host_port,
+    socket_host_port,
+    task_list_body,
+    wait_within,
 )
-from test_codecs import written
-from test_net import Address, ending, patient  # noqa: F401
+from test_codecs import write_configuration
+from test_net import ListenerServer, long_timeouts, read_to_end  # noqa: F401
 
 from garnetpaddle import interface as gp
 from garnetpaddle.brain import COLD_CAPACITY_SHARE, INHERITED_TABLES_TENTHS_MS
@@ -42,15 +41,15 @@
 from garnetpaddle.net.task_list_watch import TaskAddresses, TaskListWatch
 
 
-def write_configuration(tmp_path, discovery, relay, tasks, *changes):
+def write_peer_configuration(tmp_path, discovery, relay, tasks, *changes):
     """Writes a configuration with these addresses, these tasks in the last known list, and no probes."""
     known = {"generation": 41, "reset": True, "instances": []}
     known["instances"] = [
         {"instanceId": f"s-{task}", "hostPort": "127.0.0.1:1", "zone": "a", "lifecycle": "active"}
         for task in tasks
     ]
-    settings = ("discovery", at(discovery)), ("store/address", at(relay)), ("known", known)
-    return written(tmp_path, *settings, ("settings/ceilings/probes", False), *changes)
+    settings = ("discovery", host_port(discovery)), ("store/address", host_port(relay)), ("known", known)
+    return write_configuration(tmp_path, *settings, ("settings/ceilings/probes", False), *changes)
 
 
 def distinct_states(history):
@@ -71,13 +70,13 @@
 async def announce_drain(drain_source, old_agent, new_agent):
     """Drains task b. `older`: announced by the old agent while the new one has an older list."""
     if drain_source != "new":
-        old_agent.tell(("b", "leaving"))
+        old_agent.publish_generation(("b", "leaving"))
     match drain_source:
         case "old":
             # Its list no longer contains b.
-            new_agent.tell(("b", "left"), generation=old_agent.generation + 1)
+            new_agent.publish_generation(("b", "left"), generation=old_agent.generation + 1)
         case "new" | "both":
-            new_agent.tell(("b", "leaving"))
+            new_agent.publish_generation(("b", "leaving"))
 
 
 @pytest.mark.parametrize(
@@ -93,49 +92,49 @@
     moves, drain_source, tmp_path
 ):
     async def scenario():
-        old_agent, new_agent, relay = DiscoveryAgent(50, "abc"), DiscoveryAgent(50, "abc"), Relay(4, 5)
+        old_agent, new_agent, relay = FakeDiscovery(50, "abc"), FakeDiscovery(50, "abc"), FakeRelay(4, 5)
         new_agent.generation -= drain_source == "older"
         async with (
             old_agent.listen() as old_discovery,
             new_agent.listen() as new_discovery,
             relay.listen() as old_relay,
             relay.listen() as new_relay,
-            Program(write_configuration(tmp_path, old_discovery, old_relay, "abc")) as program,
+            AssignerProgram(write_peer_configuration(tmp_path, old_discovery, old_relay, "abc")) as program,
         ):
-            await until(lambda: relay.callable() == "4:abc 5:abc")
-            new_agent.speaks.clear()
+            await wait_until(lambda: relay.callable_tasks() == "4:abc 5:abc")
+            new_agent.responding.clear()
             addresses = {"discovery": (new_discovery, old_relay), "both": (new_discovery, new_relay)}
-            write_configuration(tmp_path, *addresses.get(moves, (old_discovery, new_relay)), "abc")
+            write_peer_configuration(tmp_path, *addresses.get(moves, (old_discovery, new_relay)), "abc")
             program.signal(signal.SIGHUP)
             # The move is in progress: the new addresses have received requests but not answered them.
-            await until(lambda: "relay" in moves or new_agent.asked)
-            await until(lambda: moves == "discovery" or new_relay.said)
+            await wait_until(lambda: "relay" in moves or new_agent.request_count)
+            await wait_until(lambda: moves == "discovery" or new_relay.requests)
             await announce_drain(drain_source, old_agent, new_agent)
             if drain_source == "older":  # the older list arrives after the drain has been applied
-                await within(GRACE, lambda: relay.callable() == "4:ac 5:ac")
-            new_agent.speaks.set()
+                await wait_within(DEFAULT_GRACE_PERIOD, lambda: relay.callable_tasks() == "4:ac 5:ac")
+            new_agent.responding.set()
             if moves == "broken relay":
                 for writer in old_relay.writers:
                     writer.transport.abort()
-            await within(GRACE, lambda: relay.callable() == "4:ac 5:ac")
+            await wait_within(DEFAULT_GRACE_PERIOD, lambda: relay.callable_tasks() == "4:ac 5:ac")
             if drain_source == "older":
                 # The older list and a complete watch after it have arrived: b would be in a table again.
-                await until(lambda: new_agent.asked > 2)
-                new_agent.tell(("b", "leaving"), generation=52)
+                await wait_until(lambda: new_agent.request_count > 2)
+                new_agent.publish_generation(("b", "leaving"), generation=52)
             move_events = [] if moves == "discovery" else ["event=news_moved"]
-            await program.logged_all(*move_events, *["event=discovery_moved"] * ("relay" not in moves))
+            await program.wait_for_all_logs(*move_events, *["event=discovery_moved"] * ("relay" not in moves))
             # The current agent's changes are applied, and orders reach the current relay.
-            (old_agent if "relay" in moves else new_agent).tell(("c", "leaving"), generation=60)
-            await within(GRACE, lambda: relay.callable() == "4:a 5:a")
+            (old_agent if "relay" in moves else new_agent).publish_generation(("c", "leaving"), generation=60)
+            await wait_within(DEFAULT_GRACE_PERIOD, lambda: relay.callable_tasks() == "4:a 5:a")
             return await terminate(program), relay, old_relay if moves == "discovery" else new_relay
 
     result, relay, current_relay = asyncio.run(scenario())
-    assert result == ENDED
-    assert "put,1,s-c,0.0" in current_relay.said[-1] or moves == "broken relay"
+    assert result == CLEAN_EXIT
+    assert "put,1,s-c,0.0" in current_relay.requests[-1] or moves == "broken relay"
     assert distinct_states(relay.history) == ["4:abc 5:abc", "4:ac 5:ac", "4:a 5:a"]
     # Removed once; after a broken stream the proxies are bound to a new table without b.
-    assert [relay.ordered(f"put,1,s-{task},0.0") for task in "ab"] == [0, moves != "broken relay"]
-    assert relay.ordered("eject") == 0
+    assert [relay.count_orders(f"put,1,s-{task},0.0") for task in "ab"] == [0, moves != "broken relay"]
+    assert relay.count_orders("eject") == 0
 
 
 # --- peers that fall silent
@@ -167,18 +166,18 @@
     must_ask_in = 4.0
 
     async def scenario():
-        agent, relay = DiscoveryAgent(50, "abc"), Relay(4, 5)
+        agent, relay = FakeDiscovery(50, "abc"), FakeRelay(4, 5)
         with socket.create_server(("127.0.0.1", 0)) as free_socket:
-            listen_address = at_socket(free_socket)
+            listen_address = socket_host_port(free_socket)
         async with agent.listen() as discovery, relay.listen() as address:
             settings = (
                 ("listen", listen_address),
                 ("settings/discovery", mode),
                 ("settings/contract/must_ask_in", must_ask_in),
             )
-            path = write_configuration(tmp_path, discovery, address, "abc", *settings)
-            async with Program(path) as program:
-                await until(lambda: relay.callable() == "4:abc 5:abc")
+            path = write_peer_configuration(tmp_path, discovery, address, "abc", *settings)
+            async with AssignerProgram(path) as program:
+                await wait_until(lambda: relay.callable_tasks() == "4:abc 5:abc")
                 collector = Collector(listen_address.split(":"))
                 await collector.join()
                 calls = relay.calls
@@ -191,61 +190,61 @@
                 else:
                     await silent_collector(agent, relay, collector, program)
                 # After the recovery, changes are applied in order again.
-                agent.tell(("c", "leaving"))
-                await within(GRACE, lambda: relay.callable().startswith("4:a 5:a"))
+                agent.publish_generation(("c", "leaving"))
+                await wait_within(DEFAULT_GRACE_PERIOD, lambda: relay.callable_tasks().startswith("4:a 5:a"))
                 return await terminate(program), relay
 
     result, relay = asyncio.run(scenario())
-    assert result == ENDED
+    assert result == CLEAN_EXIT
     assert distinct_states(relay.history) == ["4:abc 5:abc", "4:ac 5:ac", "4:a 5:a"]
 
 
 async def run_healthy_rounds(agent, collector):
     for _ in range(HEALTHY_ROUNDS):
-        asked = agent.asked
-        agent.tell()
+        requests_before = agent.request_count
+        agent.publish_generation()
         collector.report()
-        await until(lambda asked=asked: agent.asked > asked)
+        await wait_until(lambda requests_before=requests_before: agent.request_count > requests_before)
 
 
 async def silent_discovery(agent, relay, must_ask_in):
     """Changes made meanwhile arrive in one answer; a proxy that joins before it is bound at once."""
-    agent.speaks.clear()
-    agent.tell(("b", "leaving"))
-    asked = agent.asked
+    agent.responding.clear()
+    agent.publish_generation(("b", "leaving"))
+    requests_before = agent.request_count
     relay.join(6)
-    await within(1.0, lambda: relay.callable() == "4:abc 5:abc 6:abc")
-    await within(must_ask_in, lambda: agent.asked > asked)
-    agent.tell(("d", "active"))
-    agent.tell(("d", "left"))
-    agent.speaks.set()
-    await within(GRACE, lambda: relay.callable() == "4:ac 5:ac 6:ac")
+    await wait_within(1.0, lambda: relay.callable_tasks() == "4:abc 5:abc 6:abc")
+    await wait_within(must_ask_in, lambda: agent.request_count > requests_before)
+    agent.publish_generation(("d", "active"))
+    agent.publish_generation(("d", "left"))
+    agent.responding.set()
+    await wait_within(DEFAULT_GRACE_PERIOD, lambda: relay.callable_tasks() == "4:ac 5:ac 6:ac")
 
 
 async def silent_stream(agent, relay):
     """Calls continue while the stream is silent; the next stream lists all proxies that have not left."""
-    relay.speaks.clear()
-    agent.tell(("b", "leaving"))
-    await within(1.0, lambda: relay.callable() == "4:ac 5:ac")
-    asked, bound = relay.asked, relay.ordered("attach")
+    relay.streaming.clear()
+    agent.publish_generation(("b", "leaving"))
+    await wait_within(1.0, lambda: relay.callable_tasks() == "4:ac 5:ac")
+    requests_before, orders_before = relay.stream_request_count, relay.count_orders("attach")
     relay.join(6)
-    await within(STREAM_TIMEOUT, lambda: relay.asked > asked)
-    relay.speaks.set()
-    await within(GRACE, lambda: relay.ordered("attach") == bound + 3)
-    assert relay.callable() == "4:ac 5:ac 6:ac"
+    await wait_within(STREAM_TIMEOUT, lambda: relay.stream_request_count > requests_before)
+    relay.streaming.set()
+    await wait_within(DEFAULT_GRACE_PERIOD, lambda: relay.count_orders("attach") == orders_before + 3)
+    assert relay.callable_tasks() == "4:ac 5:ac 6:ac"
 
 
 async def silent_collector(agent, relay, collector, program):
     """A new collector takes over the zone with its first report; heartbeats are answered."""
-    agent.tell(("b", "leaving"))
-    await within(1.0, lambda: relay.callable() == "4:ac 5:ac")
+    agent.publish_generation(("b", "leaving"))
+    await wait_within(1.0, lambda: relay.callable_tasks() == "4:ac 5:ac")
     new_collector = Collector(collector.address)
     await new_collector.join()
     new_collector.writer.write(b"hb\r\n")
-    async with asyncio.timeout(GRACE):
+    async with asyncio.timeout(DEFAULT_GRACE_PERIOD):
         assert await new_collector.reader.readline() == b"hb_ok\r\n"
         new_collector.report()
-        await program.logged_all("replaces=true")
+        await program.wait_for_all_logs("replaces=true")
         assert await collector.reader.read() == b""
 
 
@@ -261,16 +260,20 @@
 )
 def test_full_lists_instead_of_changes(stay_open, expected, tmp_path):
     async def scenario():
-        agent, relay = DiscoveryAgent(50, "abcd", whole=True), Relay(4, 5)
+        agent, relay = FakeDiscovery(50, "abcd", full_lists=True), FakeRelay(4, 5)
         async with agent.listen() as discovery, relay.listen() as address:
             setting = ("settings/contract/dropped_stay_open", stay_open)
-            async with Program(write_configuration(tmp_path, discovery, address, "abcd", setting)) as program:
-                await until(lambda: relay.callable() == expected[0])
+            async with AssignerProgram(
+                write_peer_configuration(tmp_path, discovery, address, "abcd", setting)
+            ) as program:
+                await wait_until(lambda: relay.callable_tasks() == expected[0])
                 calls = relay.calls
 
                 async def send_list(*entries):
-                    agent.tell(*entries)
-                    await until(lambda asked=agent.asked: agent.asked > asked)
+                    agent.publish_generation(*entries)
+                    await wait_until(
+                        lambda requests_before=agent.request_count: agent.request_count > requests_before
+                    )
 
                 # The same list repeatedly, with a duplicate entry, in different orders.
                 for _ in range(HEALTHY_ROUNDS):
@@ -278,16 +281,19 @@
                     await send_list(*active_entries("dcba"))
                 assert relay.calls == calls
                 await send_list(*active_entries("abcd"), ("b", "leaving"))
-                await within(GRACE, lambda: relay.callable() == expected[1])
+                await wait_within(DEFAULT_GRACE_PERIOD, lambda: relay.callable_tasks() == expected[1])
                 for entries in ("ad", "", "", "a"):  # the list shrinks until it is empty, then grows again
                     await send_list(*active_entries(entries))
                     if not stay_open and entries != "a":
-                        await within(GRACE, lambda entries=entries: relay.callable() == both_proxies(entries))
-                await within(GRACE, lambda: relay.callable() == expected[-1])
+                        await wait_within(
+                            DEFAULT_GRACE_PERIOD,
+                            lambda entries=entries: relay.callable_tasks() == both_proxies(entries),
+                        )
+                await wait_within(DEFAULT_GRACE_PERIOD, lambda: relay.callable_tasks() == expected[-1])
                 return await terminate(program), relay.history
 
     result, history = asyncio.run(scenario())
-    assert result == ENDED
+    assert result == CLEAN_EXIT
     assert distinct_states(history) == expected
 
 
@@ -314,7 +320,7 @@
 
 
 async def wait_for_heartbeat(listen_address):
-    async with asyncio.timeout(CAUGHT_UP):
+    async with asyncio.timeout(RESTART_TIMEOUT):
         while not await answers_heartbeat(listen_address):
             await asyncio.sleep(0.01)
 
@@ -322,7 +328,7 @@
 async def kill_and_wait(program, kill_signal):
     """Signals the process and waits for its exit."""
     program.signal(kill_signal)
-    await program.made.wait()
+    await program.process.wait()
 
 
 @pytest.mark.parametrize("kill_signal", [signal.SIGTERM, signal.SIGKILL])
@@ -331,38 +337,38 @@
     """bound: before any proxy is reported; answered: after its first hb_ok; called: during its first call."""
 
     async def scenario():
-        agent, relay = DiscoveryAgent(50, "abc"), Relay(4, 5)
+        agent, relay = FakeDiscovery(50, "abc"), FakeRelay(4, 5)
         with socket.create_server(("127.0.0.1", 0)) as free_socket:
-            listen_address = at_socket(free_socket)
+            listen_address = socket_host_port(free_socket)
         async with agent.listen() as discovery, relay.listen() as address:
-            path = write_configuration(tmp_path, discovery, address, "abc", ("listen", listen_address))
-            async with Program(path) as first_program:  # the proxies keep the tables of this process
-                await until(lambda: relay.callable() == "4:abc 5:abc")
+            path = write_peer_configuration(tmp_path, discovery, address, "abc", ("listen", listen_address))
+            async with AssignerProgram(path) as first_program:  # the proxies keep the tables of this process
+                await wait_until(lambda: relay.callable_tasks() == "4:abc 5:abc")
                 await kill_and_wait(first_program, signal.SIGKILL)
-            relay.restarted()
-            (relay.speaks if kill_time == "bound" else relay.answers).clear()
+            relay.reset_for_restart()
+            (relay.streaming if kill_time == "bound" else relay.responding).clear()
             calls = relay.calls
-            async with Program(path) as second_program:
-                await second_program.logged("event=serving")
+            async with AssignerProgram(path) as second_program:
+                await second_program.wait_for_log("event=serving")
                 if kill_time != "bound":
                     await wait_for_heartbeat(listen_address)
                 if kill_time == "called":
-                    await until(lambda: relay.calls > calls)
+                    await wait_until(lambda: relay.calls > calls)
                 await kill_and_wait(second_program, kill_signal)
-            relay.restarted()
-            relay.speaks.set()
-            relay.answers.set()
+            relay.reset_for_restart()
+            relay.streaming.set()
+            relay.responding.set()
             order_count = len(relay.orders)
-            async with Program(path) as program:
-                agent.tell(("b", "leaving"))
+            async with AssignerProgram(path) as program:
+                agent.publish_generation(("b", "leaving"))
                 await wait_for_heartbeat(listen_address)
-                await within(GRACE, lambda: relay.callable() == "4:ac 5:ac")
+                await wait_within(DEFAULT_GRACE_PERIOD, lambda: relay.callable_tasks() == "4:ac 5:ac")
                 relay.join(6)
-                await within(GRACE, lambda: relay.callable() == "4:ac 5:ac 6:ac")
+                await wait_within(DEFAULT_GRACE_PERIOD, lambda: relay.callable_tasks() == "4:ac 5:ac 6:ac")
                 return await terminate(program), relay, relay.orders[order_count:]
 
     result, relay, orders = asyncio.run(scenario())
-    assert result == ENDED
+    assert result == CLEAN_EXIT
     assert distinct_states(relay.history) == ["4:abc 5:abc", "4:ac 5:ac"]
     # Proxies with a table keep it; only the new proxy is bound.
     assert [order.split(",")[1] for order in orders if order.startswith("attach")] == ["6"]
@@ -392,17 +398,17 @@
             collections.deque(maxlen=BUDGET_WINDOW // TURN_INTERVAL),
         )
         for rank, (count, rate) in enumerate(zip(self.proxy_counts, self.call_rates, strict=True)):
-            terms = {"total": sum(self.proxy_counts), "assigners": ASSIGNERS, "rank": rank}
-            assigner = Play((), 0, probes_allowed=False, warm_after=WARM_UP_TIME, **terms)
-            assigner.now, assigner.sums = START_TIME, {}
-            assigner.hear(gp.TaskListReceived("full", tuple(map(task_line, tasks))))
-            assigner.hear(*(gp.ProxyJoined(proxy, rate, True, "z") for proxy in range(count)))
-            assigner.run(5)
+            parameters = {"total": sum(self.proxy_counts), "assigners": ASSIGNERS, "rank": rank}
+            assigner = BrainHarness((), 0, probes_allowed=False, warm_after=WARM_UP_TIME, **parameters)
+            assigner.now, assigner.reported_sums = START_TIME, {}
+            assigner.handle(gp.TaskListReceived("full", tuple(map(task_line, tasks))))
+            assigner.handle(*(gp.ProxyJoined(proxy, rate, True, "z") for proxy in range(count)))
+            assigner.advance(5)
             self.assigners.append(assigner)
         self.started_at = self.assigners[0].now
         for assigner in self.assigners:
-            assigner.hear(
-                changes(*(task_line(task, started=assigner.now / 10_000) for task in self.cold_tasks))
+            assigner.handle(
+                list_changes(*(task_line(task, started=assigner.now / 10_000) for task in self.cold_tasks))
             )
 
     def run_turn(self):
@@ -410,15 +416,21 @@
 
         The capacity of a warm task is an even share of all calls, as in a fully used fleet."""
         for assigner in self.assigners:
-            assigner.run(TURN_INTERVAL / 10_000)
+            assigner.advance(TURN_INTERVAL / 10_000)
         age = (self.assigners[0].now - self.started_at) / WARM_UP_TIME
-        capacity = (TERMS.start_share + (1 - TERMS.start_share) * min(age, 1)) * self.total_call_rate / TASKS
+        capacity = (
+            (PARAMETERS.start_share + (1 - PARAMETERS.start_share) * min(age, 1))
+            * self.total_call_rate
+            / TASKS
+        )
         rates_by_task = collections.Counter()
         for assigner, count, rate in zip(self.assigners, self.proxy_counts, self.call_rates, strict=True):
-            laid = {task: weight for table in assigner.brain.tables for task, weight in table.weights.items()}
-            for task, weight in laid.items():
-                rates_by_task[task] += count * rate * weight / sum(laid.values())
-        self.window.append((rates_by_task, TERMS.fall_multiple * capacity))
+            table_weights = {
+                task: weight for table in assigner.brain.tables for task, weight in table.weights.items()
+            }
+            for task, weight in table_weights.items():
+                rates_by_task[task] += count * rate * weight / sum(table_weights.values())
+        self.window.append((rates_by_task, PARAMETERS.fall_multiple * capacity))
         return rates_by_task
 
     def max_budget_fraction(self):
@@ -445,13 +457,13 @@
     )  # all tasks are in the tables again
 
 
-@pytest.mark.parametrize("terms", [{"fall_multiple": 2.0}, {"start_share": 0.1, "warm_after": 300_000}])
-def test_cold_tasks_alone_are_not_overloaded_at_any_start_capacity(terms, monkeypatch):
+@pytest.mark.parametrize("parameters", [{"fall_multiple": 2.0}, {"start_share": 0.1, "warm_after": 300_000}])
+def test_cold_tasks_alone_are_not_overloaded_at_any_start_capacity(parameters, monkeypatch):
     """Cold tasks were overloaded: once their capacity, each counted up to an even share, reached 0.45 of the
     fleet's work, they were treated as warm and got all calls."""
-    changed = dataclasses.replace(TERMS, **{"warm_after": WARM_UP_TIME} | terms)
+    changed = dataclasses.replace(PARAMETERS, **{"warm_after": WARM_UP_TIME} | parameters)
     for module in (helper, sys.modules[__name__]):
-        monkeypatch.setattr(module, "TERMS", changed)
+        monkeypatch.setattr(module, "PARAMETERS", changed)
     monkeypatch.setattr(sys.modules[__name__], "WARM_UP_TIME", changed.warm_after)
     fleet, max_fraction = Fleet(TASKS), 0.0
     while fleet.assigners[0].now < fleet.started_at + WARM_UP_TIME:
@@ -465,17 +477,17 @@
 
 def test_assigner_without_proxies_has_bounded_orders_and_state():
     """20 minutes with a change each: one order per change, one probe per task and second, bounded state."""
-    assigner, orders_by_type, sizes = Play("abcd", 0), collections.Counter(), []
+    assigner, orders_by_type, sizes = BrainHarness("abcd", 0), collections.Counter(), []
 
-    def hear_and_count(*events):
-        assigner.hear(*events)
-        orders_by_type.update(type(order).__name__ for order in assigner.last)
+    def handle_and_count(*events):
+        assigner.handle(*events)
+        orders_by_type.update(type(order).__name__ for order in assigner.last_orders)
 
     for minute in range(20):
-        hear_and_count(changes(task_line("e", "draining" if minute % 2 else "ready")))
+        handle_and_count(list_changes(task_line("e", "draining" if minute % 2 else "ready")))
         for _ in range(600):
-            assigner.run(0.1)
-            orders_by_type.update(type(order).__name__ for order in assigner.last)
+            assigner.advance(0.1)
+            orders_by_type.update(type(order).__name__ for order in assigner.last_orders)
         sizes.append(state_size(assigner.brain))
     order_counts = {
         kind: orders_by_type[kind]
@@ -519,17 +531,17 @@
 def test_proxies_that_all_leave_and_rejoin_are_bound_again_with_bounded_state(has_only_default_table):
     """Proxies without a table are bound in the same turn; others keep theirs up to 6 s, as after a start."""
     assigner, sizes, seconds = (
-        Play("abcd", 3),
+        BrainHarness("abcd", 3),
         [],
         0.0 if has_only_default_table else INHERITED_TABLES_TENTHS_MS / 10_000,
     )
     for _ in range(100):
-        assigner.run(0.5)
-        assigner.hear(*(gp.ProxyLeft(proxy) for proxy in range(3)))
-        assigner.run(0.5)
+        assigner.advance(0.5)
+        assigner.handle(*(gp.ProxyLeft(proxy) for proxy in range(3)))
+        assigner.advance(0.5)
         count = len(assigner.trace)
-        assigner.hear(*(gp.ProxyJoined(proxy, 20.0, has_only_default_table, "z") for proxy in range(3)))
-        assigner.run(seconds)
+        assigner.handle(*(gp.ProxyJoined(proxy, 20.0, has_only_default_table, "z") for proxy in range(3)))
+        assigner.advance(seconds)
         assert [line[7:] for line in assigner.trace[count:]] == ["bind 0, bind 1, bind 2"]
         sizes.append(state_size(assigner.brain))
     assert max(sizes[10:]) <= max(sizes[:10])
@@ -539,23 +551,23 @@
     """Over its first watches: one call to the relay, one event stream, and one watch per second."""
 
     async def scenario():
-        agent, relay = DiscoveryAgent(50, "abc"), Relay()
+        agent, relay = FakeDiscovery(50, "abc"), FakeRelay()
         async with (
             agent.listen() as discovery,
             relay.listen() as address,
-            Program(write_configuration(tmp_path, discovery, address, "abc")) as program,
+            AssignerProgram(write_peer_configuration(tmp_path, discovery, address, "abc")) as program,
         ):
-            await until(lambda: agent.asked)
+            await wait_until(lambda: agent.request_count)
             started_at = asyncio.get_running_loop().time()
-            await until(lambda: agent.asked >= 4)
+            await wait_until(lambda: agent.request_count >= 4)
             # Four requests: the list, a watch immediately after it, then two more.
             assert asyncio.get_running_loop().time() - started_at > 1.8
-            request_counts = relay.calls, relay.asked, agent.asked
+            request_counts = relay.calls, relay.stream_request_count, agent.request_count
             relay.join(4)
-            await within(1.0, lambda: relay.callable() == "4:abc")
+            await wait_within(1.0, lambda: relay.callable_tasks() == "4:abc")
             return request_counts, await terminate(program)
 
-    assert asyncio.run(scenario()) == ((1, 1, 4), ENDED)
+    assert asyncio.run(scenario()) == ((1, 1, 4), CLEAN_EXIT)
 
 
 # --- messages split over several reads
@@ -570,25 +582,25 @@
     for size in READ_SIZES:
         monkeypatch.setattr(module, "READ_SIZE", size)
         assert asyncio.run(scenario()) == unsplit
-    return list(map(shown, unsplit))
+    return list(map(format_event, unsplit))
 
 
-def http_response(text):
+def utf8_http_response(text):
     body = text.encode()
     return [f"HTTP/1.1 200 OK\r\nContent-Length: {len(body)}\r\n\r\n".encode() + body]
 
 
-@pytest.mark.usefixtures("patient")
+@pytest.mark.usefixtures("long_timeouts")
 def test_split_task_lists(monkeypatch):
     script = [
-        http_response(listed(50, True, ("ä", "active"), ("b", "active"))),
-        [CHUNKED, chunk(listed(51, False, ("ä", "leaving"))), b"0\r\n\r\n"],
-        http_response(listed(52, False, ("b", "left"))),
+        utf8_http_response(task_list_body(50, True, ("ä", "active"), ("b", "active"))),
+        [CHUNKED_HEAD, chunk(task_list_body(51, False, ("ä", "leaving"))), b"0\r\n\r\n"],
+        utf8_http_response(task_list_body(52, False, ("b", "left"))),
     ]
 
     async def scenario():
         events = []
-        async with StandIn(*script) as agent:
+        async with ScriptedServer(*script) as agent:
             watch = TaskListWatch(agent.address, TaskAddresses(), events.append, False)
             return await run_until(watch, events, 3)
 
@@ -602,12 +614,12 @@
 async def run_until(component, events, count):
     """Runs a component until it has delivered this many events."""
     running = asyncio.create_task(component.run())
-    await until(lambda: len(events) >= count)
+    await wait_until(lambda: len(events) >= count)
     running.cancel()
     return events
 
 
-@pytest.mark.usefixtures("patient")
+@pytest.mark.usefixtures("long_timeouts")
 def test_split_event_stream(monkeypatch):
     """Chunks end within a character, a CRLF and a field; lines use all three line endings."""
     text = "event: attach\r\ndata: id=4&site=zürich&rps=2&new=1\r\n\r\nevent: detach\rdata: id=4\r\r"
@@ -619,7 +631,7 @@
         cuts = body.index("ü".encode()) + 1, body.index(b"\r\n\r\n") + 1
         parts = body[: cuts[0]], body[cuts[0] : cuts[1]], body[cuts[1] :]
         stream = [f"{len(part):x}\r\n".encode() + part + b"\r\n" for part in parts]
-        async with StandIn([CHUNKED, *stream], always=lambda _: None) as relay:
+        async with ScriptedServer([CHUNKED_HEAD, *stream], default_step=lambda _: None) as relay:
             return await run_until(
                 EventSubscription(relay.address, MarkTranslator(0), events.append), events, 3
             )
@@ -631,20 +643,20 @@
     ]
 
 
-@pytest.mark.usefixtures("patient")
+@pytest.mark.usefixtures("long_timeouts")
 def test_split_call_answers(monkeypatch):
     """Each answer is read completely: the next call uses the same connection, and no order is in doubt."""
 
     async def scenario():
         events = []
         answer = "<Response><!-- ä --><entries><item><taken>1</taken></item></entries></Response>"
-        chunked = [CHUNKED, chunk(answer[:14]), chunk(answer[14:]), b"0\r\n\r\n"]
-        async with StandIn(http_response(answer), chunked, taken(1)) as relay:
+        chunked = [CHUNKED_HEAD, chunk(answer[:14]), chunk(answer[14:]), b"0\r\n\r\n"]
+        async with ScriptedServer(utf8_http_response(answer), chunked, accepted_response(1)) as relay:
             sender = OrderSender(relay.address, ["read"], MarkTranslator(0), events.append)
             for task in "abc":
                 sender.submit([gp.SetWeight(1, task, 1.0)])
             running = asyncio.create_task(sender.run())
-            await until(lambda: len(relay.said) == 3)
+            await wait_until(lambda: len(relay.requests) == 3)
             running.cancel()
             return [*events, gp.LogMessage(f"{len(relay.writers)} connections")]
 
@@ -654,14 +666,14 @@
 def test_split_probe_answers(monkeypatch):
     async def scenario():
         events, addresses = [], TaskAddresses()
-        async with StandIn(
-            http_response("TEXT inflight=7, ä=2, util=0.61"), http_response("TEXT util=0.5")
+        async with ScriptedServer(
+            utf8_http_response("TEXT inflight=7, ä=2, util=0.61"), utf8_http_response("TEXT util=0.5")
         ) as task:
             addresses.by_task["s-a"] = task.address
             prober = Prober(addresses, events.append, True, 8)
             for count in (1, 2):
                 prober.start(gp.SendProbe("s-a", 600_000))
-                await until(lambda count=count: len(events) == count)
+                await wait_until(lambda count=count: len(events) == count)
             return [gp.ProbeFinished(event.task, 0, event.outcome, event.load) for event in events]
 
     assert assert_independent_of_read_size(monkeypatch, client, scenario) == [
@@ -686,11 +698,11 @@
 
     async def scenario():
         events = []
-        async with Address(events.append) as server:
+        async with ListenerServer(events.append) as server:
             await server.join(b"h")
             await server.join(b"hb\r\nhb\r\nh")
             reader, _ = await server.join(message)
-            await until(lambda: len(events) == 3)
+            await wait_until(lambda: len(events) == 3)
             answers = await reader.readexactly(3 * len(b"hb_ok\r\n"))
             return [*events, gp.LogMessage(f"{answers.count(b'hb_ok')} answers")]
 
@@ -709,11 +721,11 @@
     """1,000 in one write on one connection; 200 connections at once to a listener with room for 16."""
 
     async def scenario():
-        async with Address(print, room=16) as server:
+        async with ListenerServer(print, capacity=16) as server:
             reader, _ = await server.join(b"hb\r\n" * 1_000)
             pipelined = await reader.readexactly(1_000 * len(b"hb_ok\r\n"))
             sockets = [
-                socket.create_connection(server.at) for _ in range(200)
+                socket.create_connection(server.address) for _ in range(200)
             ]  # blocks the event loop meanwhile
             for sock in sockets:
                 sock.sendall(b"hb\r\n")
@@ -749,11 +761,11 @@
     ]
 
     async def scenario():
-        async with Address(print, room=64) as server:
+        async with ListenerServer(print, capacity=64) as server:
             connections = [await server.join(message) for message in messages]
-            async with asyncio.timeout(CAUGHT_UP):
-                responses = [await ending(reader) for reader, _ in connections]
-            await until(lambda: not server.ours.peers)
+            async with asyncio.timeout(RESTART_TIMEOUT):
+                responses = [await read_to_end(reader) for reader, _ in connections]
+            await wait_until(lambda: not server.listener.peers)
             return responses
 
     assert asyncio.run(scenario()) == [
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -12,9 +12,9 @@
 import time
 
 import pytest
-from helper import StandIn, http, matches, shown, until
-from peers import chunk, taken
-from test_codecs import written
+from helper import ScriptedServer, assert_trace_matches, format_event, http_response, wait_until
+from peers import accepted_response, chunk
+from test_codecs import write_configuration
 
 from garnetpaddle import interface as gp
 from garnetpaddle.net import (
@@ -34,12 +34,12 @@
 from garnetpaddle.net.order_sender import OrderSender
 
 LONG_TIMEOUT, SHORT_TIMEOUT = 60.0, 0.01  # s: where a response is expected, and where none ever comes
-pytestmark = pytest.mark.usefixtures("patient")
-A, B, C = (gp.SetWeight(1, name, 1.0) for name in ("s-a", "s-b", "s-c"))
+pytestmark = pytest.mark.usefixtures("long_timeouts")
+ORDER_A, ORDER_B, ORDER_C = (gp.SetWeight(1, name, 1.0) for name in ("s-a", "s-b", "s-c"))
 
 
 @pytest.fixture
-def patient(monkeypatch):
+def long_timeouts(monkeypatch):
     """Long timeouts, so that none expires on a slow machine; tests of timeouts set their own."""
     for module, timeout in (
         (order_sender, "RESPONSE_TIMEOUT"),
@@ -54,20 +54,20 @@
 
 
 def rejection(code):
-    return http(
+    return http_response(
         f"<Response><Errors><Error><Code>{code}</Code></Error></Errors></Response>", "400 Bad Request"
     )
 
 
 RELAY_RESPONSES = {
-    "accepted": [taken(2), taken(1)],
-    "byte_by_byte": [[bytes([b]) for b in taken(2)[0]], taken(1)],
-    "partly_accepted": [taken(2), taken(2), taken(1)],
-    "rejected": [rejection("limit"), taken(2)],
-    "reset": ["break", taken(2)],
-    "invalid_xml": [http("<Response"), taken(2)],
-    "invalid_http": [[b"whim\r\n\r\n"], taken(2)],
-    "silent_within_body": [[b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n<a/>"], taken(2)],
+    "accepted": [accepted_response(2), accepted_response(1)],
+    "byte_by_byte": [[bytes([b]) for b in accepted_response(2)[0]], accepted_response(1)],
+    "partly_accepted": [accepted_response(2), accepted_response(2), accepted_response(1)],
+    "rejected": [rejection("limit"), accepted_response(2)],
+    "reset": ["break", accepted_response(2)],
+    "invalid_xml": [http_response("<Response"), accepted_response(2)],
+    "invalid_http": [[b"whim\r\n\r\n"], accepted_response(2)],
+    "silent_within_body": [[b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n<a/>"], accepted_response(2)],
     "silent": [None],
 }
 
@@ -79,43 +79,47 @@
         monkeypatch.setattr(order_sender, "RESPONSE_TIMEOUT", SHORT_TIMEOUT)
 
     async def scenario():
-        async with StandIn(*script) as relay:
+        async with ScriptedServer(*script) as relay:
             sender = OrderSender(relay.address, ["read"], MarkTranslator(0), published.append)
             sender.submit(
-                [A, B]
+                [ORDER_A, ORDER_B]
                 if name != "partly_accepted"
-                else [A, B, gp.BindProxy(4, 1), gp.RequestAcknowledgement(3, False)]
+                else [ORDER_A, ORDER_B, gp.BindProxy(4, 1), gp.RequestAcknowledgement(3, False)]
             )
-            sender.submit([C])
+            sender.submit([ORDER_C])
             running = asyncio.create_task(sender.run())
-            await until(
-                lambda: published and relay.said or len(relay.said) == (3 if name == "partly_accepted" else 2)
+            await wait_until(
+                lambda: (
+                    published
+                    and relay.requests
+                    or len(relay.requests) == (3 if name == "partly_accepted" else 2)
+                )
             )
             running.cancel()
-            return relay.said
+            return relay.requests
 
     requests = asyncio.run(scenario())
-    matches(f"order_sender_{name}", [*requests[:3], *map(shown, published)])
+    assert_trace_matches(f"order_sender_{name}", [*requests[:3], *map(format_event, published)])
 
 
 def test_orders_are_lost_without_doubt_if_the_connection_is_refused():
     published = []
 
     async def scenario():
-        async with StandIn() as relay:
+        async with ScriptedServer() as relay:
             pass
         sender = OrderSender(relay.address, ["read"], MarkTranslator(0), published.append)
-        sender.submit([A])
+        sender.submit([ORDER_A])
         running = asyncio.create_task(sender.run())
-        await until(lambda: published)
+        await wait_until(lambda: published)
         running.cancel()
 
     asyncio.run(scenario())
-    assert published == [gp.OrdersLost((A,), False)]
+    assert published == [gp.OrdersLost((ORDER_A,), False)]
 
 
-def rows(generation, reset, **states):
-    return http(
+def task_list_response(generation, reset, **states):
+    return http_response(
         json.dumps(
             {
                 "generation": generation,
@@ -139,35 +143,44 @@
     published, addresses = [], task_list_watch.TaskAddresses()
 
     async def scenario():
-        async with StandIn(*script) as agent:
+        async with ScriptedServer(*script) as agent:
             watch = task_list_watch.TaskListWatch(agent.address, addresses, published.append, must_ask)
             running = asyncio.create_task(watch.run())
             for n in range(asks):
                 watch.subscribe()
-                await until(lambda n=n: len(published) > n)
-            await until(lambda: len(published) >= count and len(agent.said) >= len(script))
+                await wait_until(lambda n=n: len(published) > n)
+            await wait_until(lambda: len(published) >= count and len(agent.requests) >= len(script))
             running.cancel()
-            return agent.said
+            return agent.requests
 
     requests = asyncio.run(scenario())
-    return [*requests[: len(script) + 1], *map(shown, published), f"addresses {addresses.by_task}"]
+    return [*requests[: len(script) + 1], *map(format_event, published), f"addresses {addresses.by_task}"]
 
 
 def test_the_full_list_is_followed_by_its_changes():
-    full = rows(4, True, a="active", b="active")
-    change = rows(6, False, a="left", c="leaving")
-    matches("discovery", follow_task_list([full, rows(5, False), change, rows(7, True, b="active")], count=3))
+    full = task_list_response(4, True, a="active", b="active")
+    change = task_list_response(6, False, a="left", c="leaving")
+    assert_trace_matches(
+        "discovery",
+        follow_task_list(
+            [full, task_list_response(5, False), change, task_list_response(7, True, b="active")], count=3
+        ),
+    )
 
 
-@pytest.mark.parametrize("failure", ["break", http('{"generation":"'), http("", "500 Down"), None])
+@pytest.mark.parametrize(
+    "failure", ["break", http_response('{"generation":"'), http_response("", "500 Down"), None]
+)
 def test_a_failed_poll_is_retried(failure, monkeypatch):
     def with_timeout(seconds, step):
         """A step that sets the response timeout of the next poll."""
         return lambda: monkeypatch.setattr(task_list_watch, "RESPONSE_TIMEOUT", seconds) or step
 
     monkeypatch.setattr(task_list_watch, "LONG_POLL_MS", 1)
-    first = with_timeout(LONG_TIMEOUT if failure else SHORT_TIMEOUT, rows(4, True, a="active"))
-    trace = follow_task_list([first, with_timeout(LONG_TIMEOUT, failure), rows(5, True, b="active")])
+    first = with_timeout(LONG_TIMEOUT if failure else SHORT_TIMEOUT, task_list_response(4, True, a="active"))
+    trace = follow_task_list(
+        [first, with_timeout(LONG_TIMEOUT, failure), task_list_response(5, True, b="active")]
+    )
     assert (
         trace[2].startswith("GET /discovery/hosts")
         and "TaskListReceived full" in trace[-2]
@@ -176,11 +189,11 @@
 
 
 def test_on_demand_a_failure_is_published_and_ends_the_subscription_until_the_next_watch_order():
-    script = ["break", rows(4, False), "break"]
-    matches("discovery_on_demand", follow_task_list(script, must_ask=True, asks=2, count=3))
+    script = ["break", task_list_response(4, False), "break"]
+    assert_trace_matches("discovery_on_demand", follow_task_list(script, must_ask=True, asks=2, count=3))
 
 
-NEWS = [b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"]
+EVENT_STREAM_HEAD = [b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"]
 
 
 def test_event_subscription_over_a_gap(monkeypatch):
@@ -200,17 +213,17 @@
         ]
         script = [
             "break",
-            http("", "503 Away"),
-            [*NEWS, *first_stream, b"0\r\n\r\n"],
-            [*NEWS, *second_stream],
+            http_response("", "503 Away"),
+            [*EVENT_STREAM_HEAD, *first_stream, b"0\r\n\r\n"],
+            [*EVENT_STREAM_HEAD, *second_stream],
         ]
-        async with StandIn(*script) as relay:
+        async with ScriptedServer(*script) as relay:
             running = asyncio.create_task(EventSubscription(relay.address, marks, published.append).run())
-            await until(lambda: len(published) == 6)
+            await wait_until(lambda: len(published) == 6)
             running.cancel()
 
     asyncio.run(scenario())
-    matches("event_stream_gap", list(map(shown, published)))
+    assert_trace_matches("event_stream_gap", list(map(format_event, published)))
 
 
 def test_an_event_above_the_size_limit_is_too_long(monkeypatch):
@@ -224,18 +237,18 @@
     monkeypatch.setattr(event_subscription, "SILENCE_TIMEOUT", SHORT_TIMEOUT)
 
     async def scenario():
-        async with StandIn(NEWS, NEWS) as relay:
+        async with ScriptedServer(EVENT_STREAM_HEAD, EVENT_STREAM_HEAD) as relay:
             running = asyncio.create_task(EventSubscription(relay.address, MarkTranslator(0), print).run())
-            await until(lambda: len(relay.said) >= 2)
+            await wait_until(lambda: len(relay.requests) >= 2)
             running.cancel()
 
     asyncio.run(scenario())
 
 
-LOAD_RESPONSE = http("TEXT inflight=7, queue=2, util=0.61")
+LOAD_RESPONSE = http_response("TEXT inflight=7, queue=2, util=0.61")
 PROBE_RESPONSES = {
     "ok": LOAD_RESPONSE,
-    "error": http("", "503 No"),
+    "error": http_response("", "503 No"),
     "reset": "break",
     "other": [b"whim\r\n\r\n"],
     "timeout": None,
@@ -248,16 +261,16 @@
     timeout = SHORT_TIMEOUT if outcome == "timeout" else LONG_TIMEOUT
 
     async def scenario():
-        async with StandIn(LOAD_RESPONSE, step, step) as task:
+        async with ScriptedServer(LOAD_RESPONSE, step, step) as task:
             addresses.by_task["s-a"] = task.address
             probes = prober.Prober(addresses, published.append, True, 8)
             for count, seconds in ((1, LONG_TIMEOUT), (2, timeout)):  # the second reuses the connection
                 probes.start(gp.SendProbe("s-a", int(seconds * 10_000)))
-                await until(lambda count=count: len(published) == count)
+                await wait_until(lambda count=count: len(published) == count)
         probes.start(gp.SendProbe("s-gone", 100))
         probes.start(gp.SendProbe("s-a", 600_000))
-        await until(lambda: len(published) == 4)
-        return task.said
+        await wait_until(lambda: len(published) == 4)
+        return task.requests
 
     requests = asyncio.run(scenario())
     assert [event.outcome for event in published] == ["ok", outcome, "unreachable", "unreachable"]
@@ -269,16 +282,16 @@
 KNOWN = message_codec.KnownNames({"read": 0}, ("a", "b"), 9)
 
 
-class Address:
-    """A Listener with a capacity of `room`, and connections to it."""
+class ListenerServer:
+    """A Listener with this capacity, and connections to it."""
 
-    def __init__(self, publish, room=6):
-        self.ours, self.client_streams = listener.Listener(publish, KNOWN, room), []
+    def __init__(self, publish, capacity=6):
+        self.listener, self.client_streams = listener.Listener(publish, KNOWN, capacity), []
 
     async def __aenter__(self):
-        self.server = await self.ours.open(("127.0.0.1", 0))
-        self.at = self.server.sockets[0].getsockname()[:2]
-        self.sweep_task = asyncio.create_task(self.ours.run())
+        self.server = await self.listener.open(("127.0.0.1", 0))
+        self.address = self.server.sockets[0].getsockname()[:2]
+        self.sweep_task = asyncio.create_task(self.listener.run())
         return self
 
     async def __aexit__(self, *_):
@@ -288,13 +301,13 @@
             writer.transport.abort()
 
     async def join(self, data=b""):
-        streams = await asyncio.open_connection(*self.at)
+        streams = await asyncio.open_connection(*self.address)
         self.client_streams.append(streams)
         streams[1].write(data)
         return streams
 
 
-async def ending(reader):
+async def read_to_end(reader):
     """What is received until the connection ends, also by a reset."""
     received = b""
     try:
@@ -311,28 +324,28 @@
     published = []
 
     async def scenario():
-        async with Address(published.append) as server:
+        async with ListenerServer(published.append) as server:
             first, second = await server.join(b"h"), await server.join()
             first[1].write(b"b\r\ntelemetry site=a\r\nwhim\r\nhb\r\n" + STATS[:9])
             assert await first[0].readexactly(14) == b"hb_ok\r\nhb_ok\r\n"
             first[1].write(STATS[9:])
-            await until(lambda: len(published) == 1)
+            await wait_until(lambda: len(published) == 1)
             # A second collector replaces the first only once it reports. It may send long lines before that.
             second[1].write(b"telemetry site=a\r\ndetach id=1\r\n" + b"x" * 50_000)
             first[1].write(STATS)
-            await until(lambda: len(published) == 2 and server.ours.candidates)
+            await wait_until(lambda: len(published) == 2 and server.listener.candidates)
             third = await server.join(b"telemetry site=a\r\n")
             assert await second[0].read() == b""  # only one candidate per zone
             third[1].write(STATS)
-            await until(lambda: len(published) == 3)
+            await wait_until(lambda: len(published) == 3)
             assert await first[0].read() == b""  # a collector that reconnects replaces its old connection
             for _ in range(20):
                 await server.join()
             last = await server.join(b"hb\r\n")
             assert await last[0].readexactly(7) == b"hb_ok\r\n"
             third[1].write(STATS)
-            await until(lambda: len(published) == 4)
-            assert len(server.ours.peers) == 6
+            await wait_until(lambda: len(published) == 4)
+            assert len(server.listener.peers) == 6
 
     asyncio.run(scenario())
 
@@ -359,8 +372,8 @@
     published = []
 
     async def scenario():
-        async with Address(published.append) as server:
-            return await ending((await server.join(data))[0])
+        async with ListenerServer(published.append) as server:
+            return await read_to_end((await server.join(data))[0])
 
     response = asyncio.run(scenario())
     assert response in (b"reject\r\n", b"hb_ok\r\nreject\r\n", b"") and not published
@@ -381,8 +394,8 @@
     monkeypatch.setattr(listener, "SWEEP_PERIOD", SHORT_TIMEOUT)
 
     async def scenario():
-        async with Address([].append) as server:
-            return await ending((await server.join(data))[0])
+        async with ListenerServer([].append) as server:
+            return await read_to_end((await server.join(data))[0])
 
     responses = {"HEARTBEAT_TIMEOUT": b"hb_ok\r\nreject\r\n", "LINE_TIMEOUT": b""}
     assert asyncio.run(scenario()) == responses.get(timeout, b"reject\r\n")
@@ -392,11 +405,11 @@
     published, lines = [], STATS.replace(b"fail=0", b"fail=3") * 9 + b"\xfe\xff \r\nwhim\r\n" + STATS
 
     async def scenario():
-        async with Address(published.append) as server:
+        async with ListenerServer(published.append) as server:
             reader, writer = await server.join(b"telemetry site=a\r\n" + lines * 2)
-            await until(lambda: len(published) == 2)
+            await wait_until(lambda: len(published) == 2)
             writer.write(b"\x17\x03\r\n" * 3 + STATS)
-            assert await ending(reader) == b""
+            assert await read_to_end(reader) == b""
 
     asyncio.run(scenario())
     assert len(published) == 2
@@ -422,9 +435,9 @@
     process = subprocess.Popen(
         [sys.executable, "-c", LISTENER_PROGRAM], stdin=subprocess.PIPE, stdout=subprocess.PIPE, text=True
     )
-    at = "127.0.0.1", int(process.stdout.readline())
+    address = "127.0.0.1", int(process.stdout.readline())
     process.send_signal(signal.SIGSTOP)  # all connections are pending when it continues
-    clients = [socket.create_connection(at) for _ in range(200)]
+    clients = [socket.create_connection(address) for _ in range(200)]
     process.send_signal(signal.SIGCONT)
     clients[-1].sendall(b"hb\r\n")
     assert clients[-1].recv(7) == b"hb_ok\r\n"
@@ -442,11 +455,11 @@
             raise KeyError("publish failure")
 
     async def scenario():
-        async with Address(publish) as server:
+        async with ListenerServer(publish) as server:
             reader, _ = await server.join(b"telemetry site=a\r\n" + STATS)
-            assert await ending(reader) == b""
+            assert await read_to_end(reader) == b""
             await server.join(b"telemetry site=b\r\n" + STATS)
-            await until(lambda: len(published) == 2)
+            await wait_until(lambda: len(published) == 2)
 
     asyncio.run(scenario())
 
@@ -459,7 +472,7 @@
     batches: list = dataclasses.field(default_factory=list)
 
     def handle(self, now, events):
-        self.batches.append(f"{now} " + ", ".join(map(shown, events)))
+        self.batches.append(f"{now} " + ", ".join(map(format_event, events)))
         return self.orders.pop(0) if self.orders else []
 
 
@@ -467,7 +480,7 @@
     now, dispatched = [100], []
     brain = RecordingBrain(
         [
-            [gp.SetTimer(100, "now"), A, gp.SendProbe("s-a", 5), B],
+            [gp.SetTimer(100, "now"), ORDER_A, gp.SendProbe("s-a", 5), ORDER_B],
             [gp.SubscribeTaskList(), gp.SetTimer(250, "late")],
         ]
     )
@@ -484,8 +497,8 @@
     decision_loop.publish(gp.ProxyLeft(2))
     for now[0] in (100, 101, 249, 300):
         decision_loop.run_batch()
-    assert dispatched == [gp.SendProbe("s-a", 5), [A, B], "watch"]
-    matches("decision_loop", brain.batches)
+    assert dispatched == [gp.SendProbe("s-a", 5), [ORDER_A, ORDER_B], "watch"]
+    assert_trace_matches("decision_loop", brain.batches)
 
 
 def test_a_pause_of_the_process_itself_is_not_a_timeout_of_the_peer():
@@ -520,14 +533,16 @@
 
 def test_an_exception_in_the_brain_ends_the_process_with_an_error(tmp_path):
     completed = subprocess.run(
-        [sys.executable, "-c", FAILING_BRAIN_PROGRAM, written(tmp_path)], capture_output=True, text=True
+        [sys.executable, "-c", FAILING_BRAIN_PROGRAM, write_configuration(tmp_path)],
+        capture_output=True,
+        text=True,
     )
     assert completed.returncode == 1
     assert "event=brain_failed" in completed.stdout and "brain failure" in completed.stdout
 
 
 def test_sigterm_ends_the_process(tmp_path):
-    path = written(tmp_path)
+    path = write_configuration(tmp_path)
 
     async def scenario():
         process = await asyncio.create_subprocess_exec(
@@ -546,35 +561,38 @@
     assert asyncio.run(scenario()) == 0
 
 
-def relay_of(*proxies):
+def make_relay(*proxies):
     """A relay that accepts every request and lists these proxies as joined."""
     joined = [chunk(f"event: attach\ndata: id={p}&site=a&rps=2&new=1\n\n") for p in proxies]
     keep_alives = itertools.cycle([0.1, chunk(":\n\n")])
-    return StandIn(
-        always=lambda request: (
-            itertools.chain(NEWS, joined, keep_alives)
+    return ScriptedServer(
+        default_step=lambda request: (
+            itertools.chain(EVENT_STREAM_HEAD, joined, keep_alives)
             if "events" in request
-            else taken(request.count(";") + 1)
+            else accepted_response(request.count(";") + 1)
         )
     )
 
 
-def agent_of(generation):
-    return StandIn(rows(generation, True, a="active"), always=lambda request: [0.1, *rows(generation, False)])
+def make_agent(generation):
+    return ScriptedServer(
+        task_list_response(generation, True, a="active"),
+        default_step=lambda request: [0.1, *task_list_response(generation, False)],
+    )
 
 
 def test_a_reload_moves_to_the_new_addresses_without_repeated_events(tmp_path):
     async def scenario():
         async with (
-            agent_of(42) as agent,
-            agent_of(43) as agent_2,
-            relay_of(4) as relay,
-            relay_of(4, 5) as relay_2,
+            make_agent(42) as agent,
+            make_agent(43) as agent_2,
+            make_relay(4) as relay,
+            make_relay(4, 5) as relay_2,
         ):
 
             def write(agent, relay, *changes):
                 addresses = [f"{host}:{port}" for host, port in (agent.address, relay.address)]
-                return written(
+                return write_configuration(
                     tmp_path, ("discovery", addresses[0]), ("store/address", addresses[1]), *changes
                 ), addresses[0]
 
@@ -590,13 +608,13 @@
             )
             output = []
 
-            async def logged(expected):
+            async def wait_for_log(expected):
                 while not output or expected not in output[-1]:
                     output.append((await process.stdout.readline()).decode())
                     assert output[-1], f"the process ended before it printed {expected}"
 
-            await logged("ProxyJoined(proxy=4")
-            await until(lambda: len(agent.said) > 1)
+            await wait_for_log("ProxyJoined(proxy=4")
+            await wait_until(lambda: len(agent.requests) > 1)
             for text, expected in (
                 ("{", "reload_refused"),
                 ("{}", "missing required"),
@@ -604,20 +622,20 @@
             ):
                 (tmp_path / "given.json").write_text(text) if text else write(agent, relay)
                 process.send_signal(signal.SIGHUP)
-                await logged(expected)
+                await wait_for_log(expected)
             write(agent_2, relay_2, ("listen", "127.0.0.1:1"))
             for _ in range(3):
                 process.send_signal(signal.SIGHUP)
-            await logged("fields=listen")
-            await logged("ProxyJoined(proxy=5")
-            await until(lambda: len(agent_2.said) > 1)
+            await wait_for_log("fields=listen")
+            await wait_for_log("ProxyJoined(proxy=5")
+            await wait_until(lambda: len(agent_2.requests) > 1)
             for writer in (*agent.writers, *relay.writers):
                 writer.transport.abort()
-            await logged("ProbeAnswered")
+            await wait_for_log("ProbeAnswered")
             process.send_signal(signal.SIGHUP)
             process.send_signal(signal.SIGTERM)
-            await logged("event=stopped")
-            assert agent_2.said[0] == "GET /discovery/hosts HTTP/1.1"
+            await wait_for_log("event=stopped")
+            assert agent_2.requests[0] == "GET /discovery/hosts HTTP/1.1"
             assert sum("ProxyJoined" in line for line in output) == 2
             assert not any(word in line for line in output for word in ("InDoubt", "ProxyLeft", "lost"))
             return await process.wait()
@@ -629,17 +647,17 @@
     published = []
 
     async def scenario():
-        async with StandIn(taken(1)) as old, StandIn(taken(1)) as new:
+        async with ScriptedServer(accepted_response(1)) as old, ScriptedServer(accepted_response(1)) as new:
             sender = OrderSender(old.address, ["read"], MarkTranslator(0), published.append)
             running = asyncio.create_task(sender.run())
-            sender.submit([A])
-            await until(lambda: old.said)
+            sender.submit([ORDER_A])
+            await wait_until(lambda: old.requests)
             sender.move(new.address)
-            await until(lambda: sender.next_connection)
-            sender.submit([B])
-            await until(lambda: new.said)
+            await wait_until(lambda: sender.next_connection)
+            sender.submit([ORDER_B])
+            await wait_until(lambda: new.requests)
             running.cancel()
-            return [*old.said, "--", *new.said]
+            return [*old.requests, "--", *new.requests]
 
     requests = [line.rpartition("changes=")[2] for line in asyncio.run(scenario())]
     assert requests == ["put,1,s-a,1.0", "--", "put,1,s-b,1.0"]
--- a/tests/test_task_registry.py
+++ b/tests/test_task_registry.py
@@ -6,7 +6,7 @@
 import sys
 
 import pytest
-from helper import TERMS, line
+from helper import PARAMETERS, task_line
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
@@ -16,7 +16,7 @@
 from garnetpaddle.task_registry import TaskRegistry
 
 PROXIES = 12  # of this assigner
-PROBED = 10  # tasks in its part: there is one assigner for every ten tasks
+OWN_TASKS = 10  # tasks in its part: there is one assigner for every ten tasks
 
 
 def ids(tasks):
@@ -26,18 +26,18 @@
 def make_registry(names):
     registry = TaskRegistry()
     for name in names:
-        registry.register(Task(line(name), 1.0, 0))
-        registry.update_line(0, line(name))
+        registry.register(Task(task_line(name), 1.0, 0))
+        registry.update_line(0, task_line(name))
     return registry
 
 
 def test_ready_tasks_keep_the_order_in_which_they_were_first_named():
     registry = make_registry("bca")
     assert ids(registry.ready()) == "bca"
-    registry.update_line(1, line("c", "draining"))
+    registry.update_line(1, task_line("c", "draining"))
     assert ids(registry.ready()) == "ba" and list(registry.leaving) == ["c"]
-    registry.register(Task(line("c", started=1), 1.0, 0))
-    registry.update_line(2, line("c", started=1))
+    registry.register(Task(task_line("c", started=1), 1.0, 0))
+    registry.update_line(2, task_line("c", started=1))
     assert ids(registry.ready()) == "bca" and not registry.leaving and registry.changed_at["c"] == 2
 
 
@@ -46,7 +46,7 @@
     first = registry.ready()
     registry.observe(registry.tasks["b"])
     assert registry.ready() is first
-    registry.update_line(1, line("a", "gone"))
+    registry.update_line(1, task_line("a", "gone"))
     assert registry.ready() is not first
 
 
@@ -60,7 +60,7 @@
     assert (
         ids(registry.observed()) == "abc" and list(registry.leaving) == ["b"] and registry.tasks["b"].unlisted
     )
-    registry.update_line(4, line("a", "draining"))
+    registry.update_line(4, task_line("a", "draining"))
     registry.remove("a")
     assert ids(registry.observed()) == "bc" and set(registry.tasks) == set(registry.lines) == {"b", "c"}
     assert list(registry.leaving) == ["b"]
@@ -69,21 +69,21 @@
 def test_a_restarted_task_is_unobserved_until_there_is_information_on_it():
     registry = make_registry("ab")
     registry.observe(registry.tasks["a"])
-    registry.register(Task(line("a", started=5), 1.0, 0))
-    registry.update_line(1, line("a", started=5))
+    registry.register(Task(task_line("a", started=5), 1.0, 0))
+    registry.update_line(1, task_line("a", started=5))
     assert registry.observed() == []
 
 
 def test_shares_are_grouped_by_kind_for_evaluated_tasks_only():
     registry = TaskRegistry()
     for name, kind, share, headroom in (("a", "m", 1.5, 1.0), ("b", "s", 0.5, 1.0), ("c", "s", 9.0, 0.0)):
-        registry.register(Task(line(name, kind=kind), share, 0))
+        registry.register(Task(task_line(name, kind=kind), share, 0))
         registry.tasks[name].headroom = headroom
-        registry.update_line(0, line(name, kind=kind))
+        registry.update_line(0, task_line(name, kind=kind))
     assert registry.shares() == {"m": [1.5], "s": [0.5]}
 
 
-def steps_of(function):
+def count_executed_lines(function):
     """Counts the lines of the program that a function executes, each iteration: the same on every machine."""
     counter = collections.Counter()
 
@@ -108,19 +108,19 @@
 
     def __init__(self, tasks):
         self.names = [f"t{number:05}" for number in range(tasks)]
-        assigners = max(tasks // PROBED, 1)
-        terms = dataclasses.replace(
-            TERMS,
+        assigners = max(tasks // OWN_TASKS, 1)
+        parameters = dataclasses.replace(
+            PARAMETERS,
             proxies=PROXIES * assigners,
             assigners=assigners,
             channel_lines=20.0,
             failures_before_avoidance=8,
         )
-        self.brain, self.now, self.pending_events = Brain(terms, 7), 0, []
-        self.handle_batch(gp.TaskListReceived("full", tuple(line(name) for name in self.names)))
+        self.brain, self.now, self.pending_events = Brain(parameters, 7), 0, []
+        self.handle_batch(gp.TaskListReceived("full", tuple(task_line(name) for name in self.names)))
         self.handle_batch(*(gp.ProxyJoined(proxy, 5.0, True, "z") for proxy in range(PROXIES)))
         for _ in range(90):
-            self.beat()
+            self.tick()
 
     def handle_batch(self, *events):
         orders = self.brain.handle(self.now, events)
@@ -132,7 +132,7 @@
             gp.OrdersApplied(proxy, mark, 500) for mark in marks for proxy in range(PROXIES)
         ]
 
-    def beat(self, *events):
+    def tick(self, *events):
         self.now += 1_000
         pending, self.pending_events = self.pending_events, []
         self.handle_batch(*pending, *events)
@@ -143,7 +143,7 @@
     "a report": lambda assigner: (
         gp.TaskReport(assigner.brain.own_tasks[0].id, "z", 10, 0, 200.0, 10_000, {}),
     ),
-    "an answer": lambda assigner: (gp.OrdersApplied(0, assigner.brain.mark, 500),),
+    "an acknowledgement": lambda assigner: (gp.OrdersApplied(0, assigner.brain.mark, 500),),
     "a join": lambda assigner: (gp.ProxyJoined(0, 5.0, True, "z"),),
     "a probe": lambda assigner: (gp.ProbeFinished(assigner.brain.own_tasks[0].id, 500, "ok", {}),),
 }
@@ -155,20 +155,20 @@
     work = {}
     for tasks in (100, 4_000):
         assigner = Assigner(tasks)
-        assert len(assigner.brain.own_tasks) == PROBED
+        assert len(assigner.brain.own_tasks) == OWN_TASKS
         events = CHANGES[change](assigner)
-        work[tasks] = sum(steps_of(functools.partial(assigner.beat, *events)) for _ in range(10))
+        work[tasks] = sum(count_executed_lines(functools.partial(assigner.tick, *events)) for _ in range(10))
     assert work[4_000] < 1.5 * work[100], work
 
 
 def test_only_tasks_of_the_own_part_are_probed_and_keep_a_timer():
     assigner = Assigner(4_000)
-    probed = [act for _, _, act, _ in assigner.brain.timers if act is Brain.probe]
-    assert len(probed) == PROBED
-    assigner.beat(gp.TaskListReceived("changes", (line(assigner.brain.own_tasks[0].id, "draining"),)))
+    probed = [action for _, _, action, _ in assigner.brain.timers if action is Brain.probe]
+    assert len(probed) == OWN_TASKS
+    assigner.tick(gp.TaskListReceived("changes", (task_line(assigner.brain.own_tasks[0].id, "draining"),)))
     for _ in range(12):
-        assigner.beat()
-    probed = [task.id for _, _, act, task in assigner.brain.timers if act is Brain.probe]
+        assigner.tick()
+    probed = [task.id for _, _, action, task in assigner.brain.timers if action is Brain.probe]
     assert sorted(probed) == sorted(task.id for task in assigner.brain.own_tasks)
 
 
@@ -176,15 +176,15 @@
     """Searching a list and walking all tasks for each line took over 20 s of a core for 13,000 lines."""
     work = {}
     for tasks in (500, 4_000):
-        listed = gp.TaskListReceived("full", tuple(line(f"t{number:05}") for number in range(tasks)))
-        brain = Brain(dataclasses.replace(TERMS, proxies=4_000, assigners=400, channel_lines=20.0), 7)
+        listed = gp.TaskListReceived("full", tuple(task_line(f"t{number:05}") for number in range(tasks)))
+        brain = Brain(dataclasses.replace(PARAMETERS, proxies=4_000, assigners=400, channel_lines=20.0), 7)
         brain.handle(0, [gp.TaskListReceived("full", listed.lines[: tasks // 2])])
-        work[tasks] = steps_of(lambda brain=brain, listed=listed: brain.handle(10, [listed]))
+        work[tasks] = count_executed_lines(lambda brain=brain, listed=listed: brain.handle(10, [listed]))
     assert work[4_000] < 10 * work[500], work
 
 
 NAMES, STATES = st.sampled_from("abcdef"), st.sampled_from(("ready", "ready", "draining", "gone"))
-LINES = st.lists(st.builds(line, NAMES, STATES, st.sampled_from((0, 0, 1, 2))), max_size=8)
+LINES = st.lists(st.builds(task_line, NAMES, STATES, st.sampled_from((0, 0, 1, 2))), max_size=8)
 LISTS = st.builds(
     gp.TaskListReceived, st.sampled_from(("changes", "full", "stale", "lost")), LINES.map(tuple)
 )
@@ -203,7 +203,7 @@
 @given(BATCHES, st.booleans())
 def test_the_indexes_agree_with_any_sequence_of_task_lists(batches, gone_binds):
     """Lists may name a task twice, drop it, list it again, be older than the last one or be empty."""
-    brain, now = Brain(dataclasses.replace(TERMS, dropped_counts_as_gone=gone_binds), 7), 0
+    brain, now = Brain(dataclasses.replace(PARAMETERS, dropped_counts_as_gone=gone_binds), 7), 0
     brain.handle(0, [gp.ProxyJoined(0, 5.0, True, "z")])
     for events, elapsed in batches:
         now += elapsed
