--- a/garnetpaddle/wirehost/translate.py
+++ b/garnetpaddle/wirehost/translate.py
@@ -1,4 +1,6 @@
-"""Conversion of the simulator's messages to the interface's events, and of orders to messages."""
+"""Conversion of the external simulator's messages to the interface's events, and of orders to messages.
+
+The simulator's times are in seconds, those of events and orders in tenths of a ms."""
 
 from garnetpaddle import interface as gp
 from garnetpaddle.boot import (
@@ -10,6 +12,7 @@
 )
 from garnetpaddle.wirehost import wire
 
+# The simulator's value or name -> ours. OUTCOMES: any other verdict counts as "other".
 STATES = {"on": "ready", "fading": "draining", "off": "gone"}
 UPDATE_TYPES = {"incr": "changes", "total": "full", "warm_copy": "stale", "lost": "lost"}
 OUTCOMES = {
@@ -21,11 +24,15 @@
     "ABORTED": "reset",
 }
 LOADS = {"concurrent": "in_hand", "depth": "queued", "load_share": "busy", "mean_ms": "service_ms"}
+# Our value -> the simulator's.
 RETRY_MODES = {"none": 0, "on proof": 1, "once": 2}
 
 
 def task_lines(entries):
-    """Task list entries as gp.TaskLines."""
+    """Converts the wire.Entry rows of a SNAPSHOT_ROWS message to a tuple of gp.TaskLines.
+
+    The simulator's `pod` becomes the line's `cell`, `machine` its `kind`, and `az` its zone. Raises
+    UnknownValueError for an unknown status."""
     return tuple(
         make_task_line(
             entry.task,
@@ -41,7 +48,10 @@
 
 
 def message_event(message, task_lists, routes):
-    """The interface's event for a message, or None for a message that the Brain does not need."""
+    """Returns the interface's event for a message of one instance, or None if the Brain does not need it.
+
+    task_lists: bank -> gp.TaskLines of the last SNAPSHOT_ROWS with that number; routes: route name -> number.
+    Raises UnknownValueError for an unknown task list, form or route."""
     match message:
         case wire.Endpoints():
             update_type = lookup(UPDATE_TYPES, message.form, "form")
@@ -65,6 +75,7 @@
         case wire.LostStream():
             return gp.ProxyLeft(message.forwarder)
         case wire.TrafficReport():
+            # In tenths of a ms but not rounded, as it is a mean; 0: none.
             latency = (message.cost_time or 0.0) * 10_000
             return gp.TaskReport(
                 message.task,
@@ -91,7 +102,7 @@
 
 
 def order_message(instance, order):
-    """The message for an order."""
+    """Returns the message, as a dict, that carries an order of this instance's Brain to the simulator."""
     match order:
         case gp.SetWeight():
             return {
@@ -106,7 +117,8 @@
         case gp.WithdrawTask():
             return {"msg": "TAKE_OUT", "i": instance, "task": order.task, "flag": order.withdrawn}
         case gp.SetAdmission():
-            lanes = sum(1 << k for k in order.routes)
+            # A bit mask: bit k stands for route k.
+            lanes = sum(1 << route for route in order.routes)
             retry_mode = RETRY_MODES[order.retry_mode]
             return {
                 "msg": "ADMIT",
--- a/garnetpaddle/wirehost/wire.py
+++ b/garnetpaddle/wirehost/wire.py
@@ -1,4 +1,6 @@
-"""The simulator's messages as msgspec structures, with the field names of its protocol."""
+"""The external simulator's messages as msgspec structures, with the field names of its protocol.
+
+Times (`wall`, `started_at`, `cost_time`, `span`) are in seconds; `i` is the instance's name."""
 
 import msgspec
 
@@ -8,7 +10,7 @@
 
 
 class Incoming(msgspec.Struct, tag_field="msg"):
-    """A message to the host."""
+    """A message from the simulator to this adapter."""
 
 
 class ForInstance(Incoming):
@@ -30,7 +32,7 @@
 
 
 class Entry(msgspec.Struct):
-    """A task list entry."""
+    """A row of a task list; translate.task_lines converts it to a gp.TaskLine."""
 
     task: str
     status: str
@@ -62,7 +64,9 @@
 
 
 class Endpoints(ForInstance, tag="ENDPOINTS"):
-    """A task list for an instance, or the loss of its subscription."""
+    """The task list `bank` for an instance, or with form "lost" the loss of its subscription.
+
+    form: a key of translate.UPDATE_TYPES."""
 
     form: str
     bank: int | None = None
@@ -88,7 +92,9 @@
 
 
 class Connected(ForInstance, tag="CONNECTED"):
-    """A proxy has joined."""
+    """A proxy has joined.
+
+    size: its calls per second; flag: it has no ordered table yet, only the default one."""
 
     forwarder: int
     size: float | None = None
@@ -103,7 +109,7 @@
 
 
 class TrafficReport(ForInstance, tag="TRAFFIC_REPORT"):
-    """A collector's report of a task."""
+    """A collector's report of the tries at a task. cost_time: mean of the successful ones."""
 
     task: str
     tries_n: int
@@ -115,7 +121,7 @@
 
 
 class Demand(ForInstance, tag="DEMAND"):
-    """A proxy's report of a route."""
+    """A proxy's report of the calls of the route named `band`."""
 
     forwarder: int
     band: str
@@ -125,7 +131,7 @@
 
 
 class Installed(ForInstance, tag="INSTALLED"):
-    """A proxy's acknowledgement of a mark."""
+    """A proxy's acknowledgement of all orders up to the mark `gen`."""
 
     forwarder: int
     gen: int
