--- a/garnetpaddle/front_ends/connection_manager.py
+++ b/garnetpaddle/front_ends/connection_manager.py
@@ -33,7 +33,7 @@
 ACCEPT_BACKLOG = 1_024
 TIME_SLICE = 0.001  # s of session work before other tasks of the event loop get their turn
 MAX_QUEUED_TIME = 5_000  # 0.5 s for which a follower's time limits wait for its queued input
-SESSION_TIMER, POLL_ACKS = "wake", "poll_acks"  # kinds of timers
+SESSION_TIMER, POLL_ACKS = "session", "poll_acks"  # kinds of timers
 log = structlog.get_logger()
 
 
@@ -41,7 +41,8 @@
     """Accepts connections, and passes their input, timers and snapshots to their sessions.
 
     publisher: snapshots.SnapshotPublisher; now: the clock in tenths of a ms; publish: receives events for the
-    Brain; max_unread: bytes of output that may be buffered for one client."""
+    Brain; max_unread: bytes of output that may be buffered for one client. connections: number ->
+    Connection."""
 
     def __init__(self, publisher, now, publish, max_connections, max_unread):
         self.publisher, self.now, self.publish = publisher, now, publish
@@ -169,7 +170,9 @@
         connection.input_processed.set()
 
     def dispatch(self, connection, *events):
-        """Passes events to a session and executes its actions; an error ends only this connection."""
+        """Passes session events to a session, one by one, and executes its actions after each.
+
+        Stops when the connection is closed; an error ends only this connection."""
         for event in events:
             if connection.closing:
                 return
@@ -180,20 +183,24 @@
                 connection.abort()
 
     def execute(self, connection, actions):
+        """Executes the actions that a connection's session has returned, in order."""
         for action in actions:
             match action:
                 case WriteBytes(data):
                     self.write(connection, data)
-                case PublishEvent(event):
-                    self.publish(event)
+                case PublishEvent(brain_event):
+                    self.publish(brain_event)
                 case SetTimer(at):
+                    # The previous timer stays queued, also if `at` is None: timer_expired ignores it, because
+                    # its time is not session_timer_at.
                     connection.session_timer_at = at
                     if at is not None:
                         self.timers.add(at, connection.number, SESSION_TIMER)
                 case NotifySession(number):
+                    # Deferred: the other session must run only after this one's remaining actions.
                     asyncio.get_running_loop().call_soon(self.notify, number)
-                case LogLine(event, fields, warning):
-                    (log.warning if warning else log.info)(event, **dict(fields))
+                case LogLine(log_event, fields, warning):
+                    (log.warning if warning else log.info)(log_event, **dict(fields))
                 case CloseConnection():
                     connection.close()
 
@@ -230,7 +237,10 @@
             self.dispatch(connection, TimerExpired())
 
     def must_wait_for_input(self, connection, now):
-        """Returns whether a session's time limits must wait until its queued input is processed."""
+        """Returns whether a session's time limits must wait until its queued input is processed.
+
+        Those of a follower wait for at most MAX_QUEUED_TIME, those of a client without a lease as long as
+        the input is queued."""
         if connection.input_queued_since is None:
             return False
         return connection.session.follower is None or now - connection.input_queued_since < MAX_QUEUED_TIME
@@ -251,11 +261,13 @@
             self.timers.add(now + connection.ack_poll_interval, connection.number, POLL_ACKS)
 
     def enforce_connection_limit(self, connection):
-        """Above the connection limit, closes the client without a lease that was silent for longest."""
+        """Above the connection limit, closes the client without a lease that was silent for longest.
+
+        If all others hold a lease, the new connection itself is closed."""
         if len(self.connections) <= self.max_connections:
             return
-        others = [x for x in self.connections.values() if x.session.follower is None and x is not connection]
-        longest_silent = min(others, key=lambda x: (x.last_received_at, x.number), default=connection)
+        others = [c for c in self.connections.values() if c.session.follower is None and c is not connection]
+        longest_silent = min(others, key=lambda c: (c.last_received_at, c.number), default=connection)
         log.warning("stranger_dropped", connections=self.max_connections)
         self.connections.pop(longest_silent.number, None)
         longest_silent.abort()
