--- a/garnetpaddle/commands/rehearse.py
+++ b/garnetpaddle/commands/rehearse.py
@@ -1,4 +1,7 @@
-"""`rehearse`: runs, compares and plots simulations from scripts, of the Brain and of baseline policies."""
+"""`rehearse`: lists, checks, runs, compares and plots scripts of simulations, and prints event logs.
+
+Policies: "brain" is the Brain, "even" and "least" are baselines. A command returns its exit code, because
+commands.line.main calls click with standalone_mode=False."""
 
 import concurrent.futures
 import json
@@ -44,10 +47,10 @@
 @rehearse.command("list")
 @click.argument("folder", default="examples/rehearsals", type=click.Path(exists=True, file_okay=False))
 def list_scripts(folder):
-    """List the scripts of a folder, with their first line."""
+    """List the scripts of a folder, each with its title: the comment in its first line."""
     for path in sorted(pathlib.Path(folder).glob("*.hcl")):
-        first = path.read_text().partition("\n")[0].lstrip("# ")
-        click.echo(f"{path}: {first}")
+        title = path.read_text().partition("\n")[0].lstrip("# ")
+        click.echo(f"{path}: {title}")
     return 0
 
 
