--- a/garnetpaddle/client/advice_types.py
+++ b/garnetpaddle/client/advice_types.py
@@ -5,7 +5,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Weight:
-    """The advice on one member. quiesced: send it no new calls; confident: learned, not a default."""
+    """The advice on one member.
+
+    contact: the manager reaches the member; quiesced: send it no new calls; confident: the weight is learned,
+    not a default."""
 
     host: str
     port: int
@@ -18,7 +21,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Update:
-    """A group's advice after a message. serial: counts this client's updates; at: time on its clock."""
+    """A group's advice after a message.
+
+    serial: counts this client's updates, from 1; at: time on its clock, in tenths of a ms."""
 
     group: str
     weights: tuple[Weight, ...]
--- a/garnetpaddle/client/dfp_manager.py
+++ b/garnetpaddle/client/dfp_manager.py
@@ -1,4 +1,7 @@
-"""The manager's role of draft-eck-dfp, without I/O; it shares its events and actions with SaspBalancer."""
+"""The manager's role of the Dynamic Feedback Protocol (DFP, draft-eck-dfp), without I/O.
+
+In DFP the load balancer is the manager, and the server that advises it, such as an assigner, the agent.
+Events and actions are shared with SaspBalancer."""
 
 import enum
 
@@ -30,19 +33,22 @@
 
 
 class DfpManager:
-    """handle(now, event) takes an event of protocol_events and returns actions and Updates.
+    """State machine of one DFP manager that follows the weights of an agent.
 
-    The last advice stays in force when the connection is lost. name: the group's name in updates;
-    keep_alive: s within which the agent is asked to send something; key: codec.Key or None; uniform: (low,
-    high) -> float."""
+    handle(now, event) takes an event of protocol_events and returns actions and Updates. The last advice
+    stays in force when the connection is lost. name: the group's name in updates; keep_alive: s within which
+    the agent is asked to send something; key: codec.Key or None; uniform: (low, high) -> random float."""
 
     def __init__(self, name, uniform, keep_alive=5, key=None):
         self.name, self.uniform, self.keep_alive, self.key = name, uniform, keep_alive, key
         self.table, self.serial, self.failures = {}, 0, 0
+        # next_action_at: when to reconnect (DISCONNECTED) or to disconnect a silent agent (FOLLOWING).
         self.state, self.next_action_at = State.DISCONNECTED, None
 
     def handle(self, now, event):
-        """Handles one event; returns the actions."""
+        """Handles one event at `now`, in tenths of a ms; returns actions and Updates.
+
+        The last action is a SetTimer for next_action_at, if it is set."""
         actions = []
         match event:
             case ConnectionOpened():
@@ -75,7 +81,7 @@
         return self.keep_alive * MISSED_KEEP_ALIVES * SECOND
 
     def apply_loads(self, now, loads, actions):
-        """Applies the weights of a Preference message."""
+        """Applies the weights of a Preference message and adds an Update with all members to the actions."""
         for load in loads:
             for host in load.hosts:
                 address = ".".join(map(str, host.address))
--- a/garnetpaddle/client/protocol_events.py
+++ b/garnetpaddle/client/protocol_events.py
@@ -14,7 +14,9 @@
 
 
 def backoff(shortest, longest, failures, uniform):
-    """Returns a wait that doubles with each failure, with jitter. uniform: (low, high) -> random float."""
+    """Returns a wait that doubles with each failure up to `longest`, times a random factor.
+
+    failures: in a row, before this one; uniform: (low, high) -> random float."""
     return int(min(shortest * 2 ** min(failures, MAX_DOUBLINGS), longest) * uniform(*JITTER))
 
 
--- a/garnetpaddle/client/sasp_balancer.py
+++ b/garnetpaddle/client/sasp_balancer.py
@@ -1,4 +1,7 @@
-"""The load balancer's role of RFC 4678, without I/O: what to send next, and the current advice."""
+"""The load balancer's role of the Server/Application State Protocol (SASP, RFC 4678), without I/O.
+
+The other side is the group workload manager (GWM), here "the manager": the server, such as an assigner, that
+computes the weights of a group's members. Times are in tenths of a ms."""
 
 import enum
 from typing import NamedTuple
@@ -32,7 +35,7 @@
 
 
 class State(enum.Enum):
-    """State of the connection to the manager."""
+    """State of the connection to the manager. REFUSED: a registration or poll was refused."""
 
     DISCONNECTED = "disconnected"
     REGISTERING = "registering"
@@ -41,14 +44,14 @@
 
 
 class PendingRequest(NamedTuple):
-    """A request without a reply yet. deadline: when the reply counts as missing."""
+    """A request without a reply yet. name: of its kind; deadline: when the reply counts as missing."""
 
     name: str
     deadline: int
 
 
 def weight_of(entry):
-    """Converts a received entry to a Weight."""
+    """Converts a received weight entry of a member to a Weight."""
     host, port = entry.member.endpoint
     return Weight(
         host,
@@ -62,12 +65,13 @@
 
 
 class SaspBalancer:
-    """handle(now, event) takes an event of protocol_events and returns actions and Updates.
+    """State machine of one load balancer that registers groups with a manager and follows their weights.
 
-    The last advice stays in force when the connection is lost. push: weights are pushed on change, else
-    polled at the manager's interval. no_change: only changed weights are pushed. trust: members may
-    register themselves. answers: each pushed update is answered by a message, which confirms it to the
-    manager (an assigner's `takes = "answers"`). uniform: (low, high) -> random float."""
+    handle(now, event) takes an event of protocol_events and returns actions and Updates. The last advice
+    stays in force when the connection is lost. push: weights are pushed on change, else polled at the
+    manager's interval. no_change: only changed weights are pushed. trust: members may register themselves.
+    answers: each pushed update is answered by a message, which confirms it to the manager (an assigner's
+    `takes = "answers"`). uniform: (low, high) -> random float."""
 
     def __init__(self, uid, groups, uniform, push=True, no_change=True, trust=False, answers=True):
         self.uid, self.uniform = uid.encode(), uniform
@@ -82,10 +86,15 @@
             0,
             0,
         )
-        self.pending, self.interval, self.next_action_at = {}, SECOND, None  # pending: id -> PendingRequest
+        # pending: message id -> PendingRequest; interval: between polls. next_action_at: when to reconnect
+        # (DISCONNECTED), register again (REFUSED) or poll (FOLLOWING); None if nothing is planned.
+        self.pending, self.interval, self.next_action_at = {}, SECOND, None
 
     def handle(self, now, event):
-        """Handles one event; returns the actions."""
+        """Handles one event at `now`, in tenths of a ms; returns actions and Updates.
+
+        The last action is a SetTimer for the earliest deadline. If there is none, a timer set before may
+        still expire; run_due then finds nothing due."""
         actions = []
         match event:
             case ConnectionOpened():
@@ -109,7 +118,7 @@
         return actions
 
     def run_due(self, now, actions):
-        """Disconnects if a reply is overdue, else does what is due in this state."""
+        """Disconnects if a reply is overdue, else reconnects, registers again or polls if that is due."""
         if any(request.deadline <= now for request in self.pending.values()):
             self.pending = {}
             actions.append(Disconnect("no reply"))
@@ -129,13 +138,13 @@
     # Requests
 
     def send(self, now, make, request, actions):
-        """Sends a request and records it as pending. make: id -> message."""
+        """Sends a request and records it as pending. make: message id -> message; request: its name."""
         self.message_id = self.message_id % MAX_MESSAGE_ID + 1
         self.pending[self.message_id] = PendingRequest(request, now + REPLY_TIMEOUT)
         actions.append(SendBytes(codec.encode(make(self.message_id))))
 
     def send_lb_state(self, now, actions):
-        """Tells the manager how this balancer wants to be served."""
+        """Sends this balancer's health and its push, trust and no_change options."""
         self.send(
             now,
             lambda n: m.SetLbState(n, self.uid, BALANCER_HEALTH, self.push, self.trust, self.no_change),
@@ -144,6 +153,7 @@
         )
 
     def register(self, now, actions):
+        """Registers all groups that have members."""
         groups = tuple(
             (self.group_name(name), tuple(members.values()))
             for name, members in self.groups.items()
@@ -166,6 +176,7 @@
         """Handles a message from the manager."""
         match message:
             case m.Weights() | m.Reply():
+                # A reply that matches no pending request gets an empty request name.
                 request = self.pending.pop(message.id, PendingRequest("", 0)).name
                 if message.code != ResponseCode.SUCCESS:
                     self.handle_refusal(now, request, message.code, actions)
@@ -252,7 +263,9 @@
             self.send(now, lambda n: m.Deregister(n, True, 1, ((name, removed_members),)), "drop", actions)
 
     def send_member_states(self, now, actions, changed=None):
-        """Sends which members are quiesced: the changed ones, or all after a registration."""
+        """Sends the quiesced state of the changed members, or of all quiesced ones after a registration.
+
+        changed: (group, key) -> True, or None for all."""
         groups = {}
         for group, key in changed or self.quiesced:
             if key in self.groups[group]:
--- a/garnetpaddle/dfp/codec.py
+++ b/garnetpaddle/dfp/codec.py
@@ -1,4 +1,8 @@
-"""Encoding and decoding of the messages of draft-eck-dfp. No I/O. Unknown TLVs are skipped."""
+"""Encoding and decoding of the messages of the Dynamic Feedback Protocol (DFP, draft-eck-dfp). No I/O.
+
+A message is a header and TLVs (type, length, value); unknown TLVs are skipped. A BindID is the number of a
+client subnet, so that a host can be offered to some clients only; this agent sends no BindID but 0, and
+reports an empty BindID table."""
 
 import hashlib
 import hmac
@@ -10,15 +14,15 @@
 HEADER = struct.Struct("!BBHI")  # version, reserved, type, message length
 TLV_HEAD = struct.Struct("!HH")  # type and length of a TLV
 SECURITY = struct.Struct("!II16s")  # algorithm, key id, digest
-LOAD = struct.Struct("!HBBHH")  # port, protocol, flags, hosts, reserved
-HOST = struct.Struct("!4sHH")  # address, BindID, weight
-BIND = struct.Struct("!H4s4s")  # BindID, client address, mask
-MAX_HOSTS = 8_000  # in one TLV, whose length has 16 bits
+TABLE_HEAD = struct.Struct("!HBBHH")  # of a load or BindID table: port, protocol, flags, item count, reserved
+HOST = struct.Struct("!4sHH")  # item of a load: address, BindID, weight
+BIND = struct.Struct("!H4s4s")  # item of a BindID table: BindID, client address, mask
+MAX_HOSTS = 8_000  # in one load TLV, whose length in bytes has 16 bits
 
 
 @dataclass(frozen=True, slots=True)
 class Host:
-    """A host and its weight."""
+    """A host and its weight; 0 means no new connections."""
 
     address: bytes  # 4 bytes; the draft does not support IPv6
     weight: int
@@ -27,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Load:
-    """Hosts behind one port. protocol: the IP protocol number; 6 is TCP."""
+    """The draft's name for the hosts that serve one port. protocol: the IP protocol number; 6 is TCP."""
 
     port: int
     hosts: tuple[Host, ...]
@@ -58,12 +62,12 @@
 
 @dataclass(frozen=True, slots=True)
 class BindIdRequest:
-    """Requests the table of BindIDs."""
+    """The manager's request for the table of BindIDs."""
 
 
 @dataclass(frozen=True, slots=True)
 class BindIdReport:
-    """entries: (BindID, client address, mask)."""
+    """The agent's table of BindIDs. entries: (BindID, client address, mask)."""
 
     entries: tuple[tuple[int, bytes, bytes], ...] = ()
 
@@ -89,7 +93,7 @@
 
 
 def digest(message, secret):
-    """MD5 of the message, with its security data set to zero, followed by the key."""
+    """Returns the 16 bytes of MD5 over a message, whose digest field must be zero, and the key's secret."""
     return hashlib.md5(message + secret, usedforsecurity=False).digest()
 
 
@@ -102,7 +106,9 @@
         self.max_size, self.key, self.buffer, self.failed = max_size, key, bytearray(), False
 
     def feed(self, chunk):
-        """Yields the messages that this chunk completes."""
+        """Yields the messages that this chunk completes, with an InvalidMessage for each that is malformed.
+
+        After a fatal one for a wrong header, it yields nothing any more."""
         if self.failed:
             return
         self.buffer += chunk
@@ -133,7 +139,8 @@
 
 
 def iterate_tlvs(data):
-    """Yields (type, offset of the value, value) of each TLV; every length is checked."""
+    """Yields (type, offset of the value, value) of each TLV of a message; raises DecodeError for a wrong
+    length."""
     offset = HEADER.size
     while offset < len(data):
         if offset + TLV_HEAD.size > len(data):
@@ -146,7 +153,8 @@
 
 
 def decode(data, key=None):
-    """Decodes a whole message; returns InvalidMessage(fatal=True) if its security data is wrong."""
+    """Decodes a whole message; returns InvalidMessage if it is malformed, a fatal one if its security data is
+    wrong."""
     try:
         _, _, message_type, _ = HEADER.unpack_from(data)
         tlvs = list(iterate_tlvs(memoryview(data)))
@@ -158,7 +166,9 @@
 
 
 def security_error(data, tlvs, key):
-    """Returns why a message's security data is wrong; "" if it is right or no key is set."""
+    """Returns why a message's security data is wrong; "" if it is right or no key is set.
+
+    Raises DecodeError if the data has the wrong length."""
     security_tlvs = [(offset, value) for tlv_type, offset, value in tlvs if tlv_type == TlvType.SECURITY]
     if key is None:
         return ""
@@ -170,13 +180,13 @@
     algorithm, key_id, received_digest = SECURITY.unpack(value)
     if algorithm != MD5 or key_id != key.id:
         return f"security algorithm {algorithm} with key {key_id}"
-    end = offset + SECURITY.size
+    end = offset + SECURITY.size  # the digest is the last 16 bytes before this
     expected = digest(data[: end - 16] + bytes(16) + data[end:], key.secret)
     return "" if hmac.compare_digest(received_digest, expected) else "security data is wrong"
 
 
 def decode_body(message_type, tlvs):
-    """Builds a message from its TLVs."""
+    """Builds a message from its TLVs; raises DecodeError if one is malformed or the type is unknown."""
     match message_type:
         case MessageType.PREFERENCE:
             return Preference(decode_loads(tlvs))
@@ -194,15 +204,20 @@
                 split_table(value, BIND) for tlv_type, _, value in tlvs if tlv_type == TlvType.BINDID_TABLE
             ]
             entries = (BIND.unpack(item) for _, items in tables for item in items)
-            return BindIdReport(tuple((n, bytes(a), bytes(m)) for n, a, m in entries))
+            return BindIdReport(
+                tuple((bind_id, bytes(address), bytes(mask)) for bind_id, address, mask in entries)
+            )
     raise DecodeError(f"unknown message 0x{message_type:04x}")
 
 
 def split_table(value, item_layout):
-    """Returns the head of a load or BindID table, and its items as slices."""
-    if len(value) < LOAD.size:
+    """Splits the value of a load or BindID TLV into the head's fields and the items, as slices of bytes.
+
+    item_layout: HOST or BIND. Raises DecodeError if the head is missing, or if its item count (head[3]) does
+    not match the length."""
+    if len(value) < TABLE_HEAD.size:
         raise DecodeError("a table without a head")
-    head, item_bytes = LOAD.unpack_from(value), value[LOAD.size :]
+    head, item_bytes = TABLE_HEAD.unpack_from(value), value[TABLE_HEAD.size :]
     if len(item_bytes) != head[3] * item_layout.size:
         raise DecodeError(f"{head[3]} items in {len(item_bytes)} bytes")
     return head, [
@@ -212,15 +227,22 @@
 
 
 def decode_loads(tlvs):
-    """Decodes the loads among a message's TLVs."""
-    found = []
+    """Returns the Loads among a message's TLVs; raises DecodeError."""
+    loads = []
     for tlv_type, _, value in tlvs:
         if tlv_type != TlvType.LOAD:
             continue
         (port, protocol, flags, _, _), items = split_table(value, HOST)
         hosts = (HOST.unpack(item) for item in items)
-        found.append(Load(port, tuple(Host(bytes(a), w, b) for a, b, w in hosts), protocol, flags))
-    return tuple(found)
+        loads.append(
+            Load(
+                port,
+                tuple(Host(bytes(address), weight, bind_id) for address, bind_id, weight in hosts),
+                protocol,
+                flags,
+            )
+        )
+    return tuple(loads)
 
 
 def encode_tlv(tlv_type, value):
@@ -228,11 +250,11 @@
 
 
 def encode_load(load):
-    """Encodes a load: in several TLVs if it has more hosts than fit into one."""
+    """Returns a load as bytes: in several TLVs if it has more hosts than fit into one."""
     tlvs = []
     for first in range(0, max(len(load.hosts), 1), MAX_HOSTS):
         hosts = load.hosts[first : first + MAX_HOSTS]
-        head = LOAD.pack(load.port, load.protocol, load.flags, len(hosts), 0)
+        head = TABLE_HEAD.pack(load.port, load.protocol, load.flags, len(hosts), 0)
         tlvs.append(
             encode_tlv(
                 TlvType.LOAD, head + b"".join(HOST.pack(h.address, h.bind_id, h.weight) for h in hosts)
@@ -242,17 +264,18 @@
 
 
 def frame(message_type, body, key=None):
-    """Encodes a whole message, signed if there is a key."""
+    """Returns a whole message as bytes, with the security TLV first if there is a key."""
     if key is not None:
         body = encode_tlv(TlvType.SECURITY, SECURITY.pack(MD5, key.id, bytes(16))) + body
     data = HEADER.pack(VERSION, 0, message_type, HEADER.size + len(body)) + body
     if key is None:
         return data
-    end = HEADER.size + TLV_HEAD.size + SECURITY.size
+    end = HEADER.size + TLV_HEAD.size + SECURITY.size  # the digest is the last 16 bytes before this
     return data[: end - 16] + digest(data, key.secret) + data[end:]
 
 
 def encode(message, key=None):
+    """Returns a message as bytes, signed if there is a key; raises TypeError for any other object."""
     match message:
         case Preference() | ServerState():
             message_type = (
@@ -269,7 +292,7 @@
         case BindIdRequest():
             return frame(MessageType.BINDID_REQUEST, b"", key)
         case BindIdReport():
-            head = LOAD.pack(0, 6, 0, len(message.entries), 0)
+            head = TABLE_HEAD.pack(0, 6, 0, len(message.entries), 0)
             body = encode_tlv(
                 TlvType.BINDID_TABLE, head + b"".join(BIND.pack(*entry) for entry in message.entries)
             )
--- a/garnetpaddle/dfp/constants.py
+++ b/garnetpaddle/dfp/constants.py
@@ -1,4 +1,6 @@
-"""The numbers of draft-eck-dfp, written down from memory; see garnetpaddle.sasp.constants for the meaning."""
+"""The numbers of DFP (draft-eck-dfp), written down from memory.
+
+FIELD_SOURCES says where each was taken from; see garnetpaddle.sasp.constants."""
 
 from enum import IntEnum
 
--- a/garnetpaddle/dfp/session.py
+++ b/garnetpaddle/dfp/session.py
@@ -14,7 +14,9 @@
 
 
 class Session(AdviceSession):
-    """configured_follower, group_name: from the operator's configuration, since the protocol carries neither;
+    """The session of one DFP manager, the client in this protocol.
+
+    configured_follower, group_name: from the operator's configuration, since the protocol carries neither;
     keep_alive: tenths of a ms, or None. The group's members are all tasks that have an IPv4 address."""
 
     def __init__(
@@ -65,11 +67,14 @@
             self.last_write_at = now
 
     def next_keep_alive_at(self):
-        """Returns by when the manager must be sent something."""
+        """Returns the time by which the manager must be sent something; only called if keep_alive is set."""
         return self.last_write_at + self.keep_alive // KEEP_ALIVES_PER_PERIOD
 
     def try_acquire_lease(self, now, actions):
-        """Acquires the lease if the follower is allowed to."""
+        """Acquires the lease if the follower may have it; closes if it may not receive the route's advice.
+
+        While the lease itself is refused, a timer tries again; the refusal is logged when its reason
+        changes."""
         if not self.initial_message_sent:
             self.initial_message_sent = True
             self.write(codec.encode(codec.Preference(), self.key), actions)
@@ -92,7 +97,9 @@
         return None
 
     def update_members(self, snapshot):
-        """Sets the members to the listed tasks at IPv4 addresses."""
+        """Sets the members to the listed tasks at IPv4 addresses, once per snapshot.
+
+        Of two tasks at one address, a ready one is preferred."""
         group = self.groups.get(self.group_name)
         if group is None or group.version == snapshot.generation:
             return
@@ -116,7 +123,7 @@
         group.members, group.version = members, snapshot.generation
 
     def encode_update(self, table, wanted, changed):
-        """Returns a Preference message with all members."""
+        """Returns a Preference message with all members, as bytes; `changed` is not needed."""
         ports = {}
         for key, weight in wanted[self.group_name].items():
             ports.setdefault(key[1], []).append(codec.Host(key[0], weight.weight))
@@ -124,7 +131,7 @@
         return codec.encode(codec.Preference(loads), self.key)
 
     def extra_timers(self, now):
-        """Returns the time of the next attempt to acquire the lease, or of the next keep-alive."""
+        """Returns the time of the next attempt to acquire the lease, or of the next keep-alive, if any."""
         if self.follower is None:
             return (now + LEASE_RETRY_PERIOD,)
         return (self.next_keep_alive_at(),) if self.keep_alive else ()
