--- a/garnetpaddle/advice/leases.py
+++ b/garnetpaddle/advice/leases.py
@@ -10,7 +10,8 @@
 FIRST_FOLLOWER_PROXY_NUMBER = (
     65_536  # first proxy number of a follower; the platform's proxies have lower numbers
 )
-# 6 s after our start in which a follower may hold older advice; see brain.INHERITED_TABLES_TENTHS_MS
+# 6 s after this process's start, in which a follower may still use advice of the process before it; see
+# brain.INHERITED_TABLES_TENTHS_MS
 RESTART_PERIOD = 60_000
 LEASE_TIMEOUT = 30_000  # 3 s without a sign of life, after which another connection may take the lease
 # How long a follower is refused after a failure: 1 s, doubled with each failure in a row, up to a minute.
@@ -22,8 +23,10 @@
 class Lease:
     """The lease of one follower.
 
-    proxy_number: its number as a proxy of the Brain; holder: number of the connection that holds the lease;
-    failures: drains in a row that it did not confirm in time; joined: the Brain counts it as joined."""
+    proxy_number: its number as a proxy of the Brain; holder: number of the connection that holds the lease,
+    or None; renewed_at: time of the holder's last sign of life; blocked_until: until then the lease is
+    refused, if there are failures; failures: drains in a row that it did not confirm in time; joined: the
+    Brain counts it as joined, since it was sent a ProxyJoined and no ProxyLeft after it."""
 
     name: str
     proxy_number: int
@@ -47,11 +50,11 @@
     """The leases of all followers."""
 
     def __init__(self, followers, started_at):
-        """followers: (name, calls per second, zone) in configuration order."""
+        """followers: (name, calls per second, zone) in configuration order; started_at: when we started."""
         self.started_at = started_at
         self.by_name = {
-            name: Lease(name, FIRST_FOLLOWER_PROXY_NUMBER + k, rate, zone)
-            for k, (name, rate, zone) in enumerate(followers)
+            name: Lease(name, FIRST_FOLLOWER_PROXY_NUMBER + position, rate, zone)
+            for position, (name, rate, zone) in enumerate(followers)
         }
 
     def refusal_reason(self, now, name, connection, has_read_reply):
@@ -68,7 +71,11 @@
         return ""
 
     def acquire(self, now, name, connection):
-        """Makes the connection the holder, replacing any other; returns an Acquisition."""
+        """Makes the connection the holder, replacing any other; returns an Acquisition.
+
+        The caller has checked that refusal_reason returns "". After a takeover the Brain is sent ProxyLeft
+        and ProxyJoined, so that it binds the new connection anew: what was sent to the previous one does not
+        count for it."""
         lease = self.by_name[name]
         previous = lease.holder if lease.holder != connection else None
         events = []
@@ -78,6 +85,8 @@
         lease.holder, lease.renewed_at = connection, now
         if not lease.joined:
             lease.joined = True
+            # Soon after this process's start, the follower may hold advice of the process before it. It then
+            # counts as a proxy with a table, which the Brain may leave in place at first.
             has_only_default_table = now - self.started_at >= RESTART_PERIOD
             events.append(
                 gp.ProxyJoined(
@@ -96,11 +105,12 @@
             self.by_name[name].renewed_at = now
 
     def clear_failures(self, name):
-        """Resets the failure count after the follower confirmed a drain."""
+        """Resets the failure count after the follower confirmed a drain; it is then no longer refused."""
         self.by_name[name].failures = 0
 
     def release(self, now, name, connection, failed):
-        """Releases the lease of a connection that ended; returns the events for the Brain.
+        """Releases the lease of a connection that ended; returns the events for the Brain, none if the
+        connection does not hold the lease.
 
         failed: the follower did not confirm a drain in time, and is refused for a while."""
         lease = self.by_name[name]
