--- a/garnetpaddle/operator/configuration.py
+++ b/garnetpaddle/operator/configuration.py
@@ -75,20 +75,21 @@
     followers: tuple[Follower, ...] = ()
     sasp: tuple[Sasp, ...] = ()
     dfp: tuple[Dfp, ...] = ()
-    lines: dict[tuple[str, str, str], int] = {}  # (kind, name, field) -> line, for diagnostics
+    # (block kind, block name, field) -> line number, for diagnostics; field "" is the block's first line.
+    lines: dict[tuple[str, str, str], int] = {}
 
     def line_of(self, kind, name, field):
-        """The line of a field, or of its block if the field is left out; 1 if both are."""
+        """Returns the line number of a field, or of its block if the field is left out; 1 if both are."""
         return self.lines.get((kind, name, field)) or self.lines.get((kind, name, ""), 1)
 
     def field_diagnostic(self, kind, name, field, why):
-        """A Diagnostic with the position of a field."""
+        """Returns a Diagnostic with the position of a field; why: the mistake."""
         where = f"{kind}.{name}.{field}".replace("..", ".")
         return Diagnostic(self.path, self.line_of(kind, name, field), where, why)
 
 
 class BlockKind(NamedTuple):
-    """A kind of block. labels: their number; None: at most one."""
+    """A kind of block. type: its struct; labels: how many it has, None for at most one."""
 
     type: type
     labels: int | None
@@ -105,9 +106,13 @@
 
 
 def read(path):
-    """Reads and validates a file; raises InvalidFileError."""
+    """Reads and validates a file; returns an OperatorConfiguration.
+
+    Raises one InvalidFileError with the diagnostics of all mistakes in the blocks, in the order of their
+    lines; if the file cannot be read or parsed, with that diagnostic alone. The platform's settings are not
+    considered: that is the task of check_against_platform."""
     blocks = read_blocks(path)
-    diagnostics, decoded, lines = [], {kind: [] for kind in KINDS}, {}
+    diagnostics, decoded, line_numbers = [], {kind: [] for kind in KINDS}, {}
     for block in blocks:
         if block.kind not in KINDS:
             known = ", ".join(KINDS)
@@ -118,15 +123,15 @@
         value = decode_block(path, block, diagnostics)
         if value is not None:
             name = getattr(value, "name", "")
-            if (block.kind, name, "") in lines:
-                first = lines[block.kind, name, ""]
+            if (block.kind, name, "") in line_numbers:
+                first = line_numbers[block.kind, name, ""]
                 diagnostics.append(
                     Diagnostic(
                         path, block.line, block_title(block), f"duplicate of the block at line {first}"
                     )
                 )
-            lines |= {(block.kind, name, key): line for key, (_, line) in block.attributes.items()}
-            lines[block.kind, name, ""] = block.line
+            line_numbers |= {(block.kind, name, key): line for key, (_, line) in block.attributes.items()}
+            line_numbers[block.kind, name, ""] = block.line
             decoded[block.kind].append(value)
     configuration = OperatorConfiguration(
         path,
@@ -135,7 +140,7 @@
         tuple(decoded["follower"]),
         tuple(decoded["sasp"]),
         tuple(decoded["dfp"]),
-        lines,
+        line_numbers,
     )
     diagnostics += check_references(configuration)
     if diagnostics:
@@ -144,7 +149,7 @@
 
 
 def read_blocks(path):
-    """The file's HCL blocks; raises InvalidFileError."""
+    """Returns the file's HCL blocks; raises InvalidFileError if it is unreadable, too long or invalid."""
     try:
         with open(path, "rb") as file:
             text = file.read(MAX_FILE_BYTES + 1).decode()
@@ -161,7 +166,7 @@
 
 
 def decode_block(path, block, diagnostics):
-    """Decodes a block to its type; returns None if that adds diagnostics."""
+    """Decodes a block to its type; returns None and adds to `diagnostics` if it has mistakes."""
     kind, labels = KINDS[block.kind]
     if len(block.labels) != labels and not (labels is None and len(block.labels) <= 1):
         diagnostics.append(
@@ -182,7 +187,7 @@
 
 
 def check_followers(configuration):
-    """Followers' groups must exist, and their UIDs must differ."""
+    """Yields diagnostics of followers: their groups must exist, and their UIDs must fit and differ."""
     groups = {group.name for group in configuration.groups}
     for follower in configuration.followers:
         for name in follower.groups:
@@ -200,7 +205,7 @@
 
 
 def check_listeners(configuration):
-    """Addresses must be valid, and must differ unless their port is 0."""
+    """Yields diagnostics of listen addresses: they must be valid, and differ unless their port is 0."""
     fronts_by_address = {}
     for kind, fronts in (("sasp", configuration.sasp), ("dfp", configuration.dfp)):
         for front in fronts:
@@ -215,7 +220,8 @@
 
 
 def check_dfp(configuration):
-    """A DFP port's follower must exist and have the port's group; a follower has at most one DFP port."""
+    """Yields diagnostics of DFP ports: the follower must exist, count acknowledged updates as confirmed, have
+    the port's group and no other DFP port; the key file must be readable."""
     followers, ports = {f.name: f for f in configuration.followers}, {}
     for front in configuration.dfp:
         if front.follower not in followers:
@@ -239,12 +245,12 @@
 
 
 def lb_uid(follower):
-    """A follower's LB UID, as bytes."""
+    """Returns a follower's LB UID (its load balancer's identifier in SASP), as bytes."""
     return (follower.uid or follower.name).encode()
 
 
 def invalid_address(text):
-    """Why a text is not a host:port address; "" if it is one."""
+    """Returns why a text is not a host:port address; "" if it is one."""
     host, _, port = text.rpartition(":")
     if host and port.isascii() and port.isdigit() and int(port) <= MAX_PORT:
         return ""
@@ -252,10 +258,11 @@
 
 
 def check_against_platform(configuration, platform):
-    """Diagnostics of the operator's configuration against the platform's (net.configuration.Configuration):
-    unknown routes and zones, and more connections than the platform leaves descriptors for."""
+    """Returns the diagnostics of the operator's configuration that depend on the platform's
+    (net.configuration.Configuration): unknown routes and zones, and more connections than the platform leaves
+    descriptors for."""
     settings, diagnostics = platform.settings, []
-    routes = [c.name for c in settings.categories]
+    routes = [route.name for route in settings.categories]
     max_connections = int(platform.limits.sockets * SOCKET_SHARE)
     connections = configuration.limits.connections
     if connections > max_connections:
