--- a/garnetpaddle/snapshots/snapshot_builder.py
+++ b/garnetpaddle/snapshots/snapshot_builder.py
@@ -12,7 +12,8 @@
 
 
 def canonical(address):
-    """An address in canonical form, as all protocols compare it: IP addresses are compressed."""
+    """Returns an address (host, port) in canonical form, as all protocols compare it: IP addresses are
+    compressed."""
     try:
         return str(ipaddress.ip_address(address[0])), address[1]
     except ValueError:
@@ -29,7 +30,7 @@
         self.weights, self.in_doubt = (), False
 
     def weight(self):
-        """The weight in effect; 0 after a removal, even one in doubt."""
+        """Returns the weight in effect; 0 after a removal, even one in doubt, and if no order is left."""
         return self.weights[-1] if self.weights else 0.0
 
     def record_order(self, weight):
@@ -49,15 +50,18 @@
 
 
 class TableBuilder:
-    """The mutable state of a table. abandoned: the Brain no longer uses it."""
+    """The mutable state of a table.
+
+    lines: task -> LineHistory; levels, previous_levels: route number -> Level ordered last, and before that
+    (None if there was none); abandoned: the Brain no longer uses the table."""
 
     def __init__(self):
         self.lines, self.levels, self.previous_levels, self.abandoned = {}, {}, {}, False
 
     def build(self, number):
-        """The present state as an immutable Table."""
-        lines = {k: line.weight() for k, line in self.lines.items() if line.weight() > 0}
-        in_doubt = tuple(k for k, line in self.lines.items() if line.in_doubt)
+        """Returns the present state as an immutable Table."""
+        lines = {task: line.weight() for task, line in self.lines.items() if line.weight() > 0}
+        in_doubt = tuple(task for task, line in self.lines.items() if line.in_doubt)
         return Table(number, MappingProxyType(lines), in_doubt, MappingProxyType(dict(self.levels)))
 
     def set_levels(self, routes, level):
@@ -75,13 +79,20 @@
 
 
 class SnapshotBuilder:
-    """dropped_counts_as_gone: as in interface.Parameters."""
+    """Applies the Brain's events and orders, batch by batch, and builds a Snapshot after each.
+
+    dropped_counts_as_gone: whether a ready task that the list drops counts as gone, as in
+    interface.Parameters."""
 
     def __init__(self, dropped_counts_as_gone=True):
         self.dropped_counts_as_gone, self.snapshot = dropped_counts_as_gone, EMPTY_SNAPSHOT
+        # tables: number -> TableBuilder; table_by_proxy: proxy -> table number; withdrawn: task -> True;
+        # tasks: task -> TaskRecord; addresses: task -> (host, port); newest_table: number of the table whose
+        # weights were ordered last; weight_changes: orders of a weight for a line that the table already had.
         self.tables, self.table_by_proxy, self.withdrawn, self.tasks, self.addresses = {}, {}, {}, {}, {}
         self.mark, self.newest_table, self.weight_changes = 0, None, 0
-        self.changed_parts = set()  # of the snapshot, by this batch; never iterated, as its order is random
+        # Names of the parts that this batch has changed; never iterated, as the order of a set is random.
+        self.changed_parts = set()
 
     def update(self, now, events, orders, addresses=None):
         """Applies a batch, first its events, then its orders; returns the new snapshot, or the same object as
@@ -99,7 +110,7 @@
         return self.snapshot
 
     def build(self, now):
-        """Builds a snapshot with the changed parts replaced."""
+        """Returns the next snapshot: the last one with the changed parts replaced."""
         parts = {}
         if "tables" in self.changed_parts:
             self.drop_abandoned_tables()
@@ -130,13 +141,13 @@
         }
 
     def build_tasks(self):
-        """Builds the parts that describe tasks. An address shared by two tasks maps to the ready one."""
+        """Returns the parts that describe tasks. An address shared by two tasks maps to the ready one."""
         ready_last = sorted(self.tasks.items(), key=lambda item: not item[1].is_not_ready())
-        by_address = {canonical(t.address): k for k, t in ready_last if t.address}
+        by_address = {canonical(record.address): task for task, record in ready_last if record.address}
         return {
             "tasks": MappingProxyType(dict(self.tasks)),
             "not_ready_since": MappingProxyType(
-                {k: t.since for k, t in self.tasks.items() if t.is_not_ready()}
+                {task: record.since for task, record in self.tasks.items() if record.is_not_ready()}
             ),
             "tasks_by_address": MappingProxyType(by_address),
         }
@@ -144,7 +155,7 @@
     # Events
 
     def apply_event(self, now, event):
-        """Applies the changes by an event."""
+        """Applies an event of the Brain; those that change no part of a snapshot are ignored."""
         match event:
             case gp.TaskListReceived():
                 self.apply_list(now, event)
@@ -167,59 +178,68 @@
         self.changed_parts.update(("tables", "table_by_proxy"))
 
     def apply_list(self, now, event):
-        """Applies a full task list, or changes of it."""
+        """Applies a full task list, which implies that the tasks it omits are gone, or changes of a list."""
         if event.update_type == "lost":
             return
-        named = {line.task: True for line in event.lines}
-        dropped = [k for k in self.tasks if event.update_type != "changes" and k not in named]
-        for k in dropped:
-            self.apply_state(now, k, "gone", None)
+        listed = {line.task: True for line in event.lines}
+        omitted = [task for task in self.tasks if event.update_type != "changes" and task not in listed]
+        for task in omitted:
+            self.apply_state(now, task, "gone", None)
         for line in event.lines:
             self.apply_state(now, line.task, line.state, line)
 
     def apply_state(self, now, task, state, line):
-        """Applies a task's state by the Brain's rules: a drain lasts until a new start, and a ready task that
-        the list drops stays ready unless dropped_counts_as_gone."""
-        known = self.tasks.get(task)
+        """Applies a task's state in the list, as Brain.on_task_line does. line: None if a full list omits it.
+
+        "gone", listed or implied, leaves a draining task draining, and a ready one ready unless
+        dropped_counts_as_gone. A ready line ends a drain, whatever its start time. A ready task is recorded
+        again only for a later start time."""
+        old_record = self.tasks.get(task)
         if state == "gone" and (
-            known is None
-            or known.state == "draining"
-            or (known.state == "ready" and not self.dropped_counts_as_gone)
+            old_record is None
+            or old_record.state == "draining"
+            or (old_record.state == "ready" and not self.dropped_counts_as_gone)
         ):
             return
-        started = line.started_at if line else known.started_at
-        if known and state == known.state and (state != "ready" or started <= known.started_at):
+        started_at = line.started_at if line else old_record.started_at
+        if (
+            old_record
+            and state == old_record.state
+            and (state != "ready" or started_at <= old_record.started_at)
+        ):
             return
-        source, address = line or known, self.addresses.get(task)
+        source, address = line or old_record, self.addresses.get(task)
         self.tasks[task] = TaskRecord(
-            task, state, source.zone, source.kind, source.size, started, now, address
+            task, state, source.zone, source.kind, source.size, started_at, now, address
         )
         self.changed_parts.add("tasks")
 
     def apply_addresses(self, addresses):
         """Updates addresses from discovery; one that discovery drops is kept as long as its task."""
         self.addresses = {k: self.addresses[k] for k in self.addresses if k in self.tasks} | addresses
-        for task, known in list(self.tasks.items()):
-            if known.address != self.addresses.get(task):
-                self.tasks[task] = dataclasses.replace(known, address=self.addresses.get(task))
+        for task, record in list(self.tasks.items()):
+            if record.address != self.addresses.get(task):
+                self.tasks[task] = dataclasses.replace(record, address=self.addresses.get(task))
                 self.changed_parts.add("tasks")
 
     def forget_expired_tasks(self, now):
         """Removes tasks that were not ready for the retention time and have no line in effect."""
         expired = [
-            k for k, t in self.tasks.items() if t.is_not_ready() and now - t.since >= NOT_READY_TASK_RETENTION
+            task
+            for task, record in self.tasks.items()
+            if record.is_not_ready() and now - record.since >= NOT_READY_TASK_RETENTION
         ]
-        for k in expired:
-            if not any(k in table.lines and table.lines[k].weight() for table in self.tables.values()):
+        for task in expired:
+            if not any(task in table.lines and table.lines[task].weight() for table in self.tables.values()):
                 for table in self.tables.values():
-                    table.lines.pop(k, None)
-                del self.tasks[k]
+                    table.lines.pop(task, None)
+                del self.tasks[task]
                 self.changed_parts.add("tasks")
 
     # Orders
 
     def apply_order(self, order):
-        """Applies the changes by an order."""
+        """Applies an order of the Brain; those that change no part of a snapshot are ignored."""
         match order:
             case gp.SetWeight(table=number, task=task, weight=weight):
                 self.set_line(number, task, weight)
@@ -238,7 +258,7 @@
                 self.changed_parts.add("mark")
 
     def set_line(self, number, task, weight):
-        """Applies an order of a line's weight."""
+        """Applies an order of a line's weight; 0 removes the line."""
         lines = self.table(number).lines
         self.newest_table = number
         self.weight_changes += task in lines and weight > 0
@@ -265,5 +285,5 @@
             self.changed_parts.add("table_by_proxy")
 
     def table(self, number):
-        """The builder of a table; created if missing."""
+        """Returns the TableBuilder of a table; created if missing."""
         return self.tables.setdefault(number, TableBuilder())
