--- a/garnetpaddle/advice/session.py
+++ b/garnetpaddle/advice/session.py
@@ -42,7 +42,7 @@
 
 @dataclass(slots=True)
 class FollowedGroup:
-    """A group that a client follows."""
+    """A group that a client follows, with the members that it registered or that the protocol implies."""
 
     route: GroupRoute
     members: dict = field(default_factory=dict)  # key -> advice.Member
@@ -56,23 +56,28 @@
 
     handle(now, event) takes a session event and returns actions; after a CloseConnection it handles only
     ConnectionLost. Subclasses handle messages (`handle_message`), encode updates as bytes (`encode_update`)
-    and may add their own timers (`extra_timers`). groups: name -> FollowedGroup."""
+    and may add their own timers (`extra_timers`). registry: the SessionRegistry; connection: its number;
+    min_update_interval: between two updates, except drains; groups: name -> FollowedGroup.
+    follower: set from the acquisition of its lease to the release, else None."""
 
     def __init__(self, registry, connection, min_update_interval, now):
         self.registry, self.connection, self.min_update_interval = registry, connection, min_update_interval
         self.follower = self.delivery = None
         self.groups, self.push_enabled, self.written, self.acked, self.joined_at = {}, False, 0, 0, now
+        # deadline: for the next message of a client without a lease; partial_message_since: when input was
+        # first found to end within a message, or None.
         self.deadline, self.partial_message_since = now + FIRST_MESSAGE_TIMEOUT, None
-        self.closed, self.timer_at = False, None
+        self.closed, self.timer_at = False, None  # timer_at: of the last SetTimer; None once it has expired
         self.message_count, self.rate_period_start = 0, now
+        # has_read_reply: the client sent a message after its TCP stack acknowledged a reply of ours.
         self.has_read_reply, self.published_mark = False, None
-        self.recorded_drains_version = (
-            None  # tasks that are not ready and group versions whose drains are recorded
-        )
-        self.up_to_date_version = None  # generation and group versions for which nothing is left to send
+        # (WeightTable.not_ready_since, group versions) whose drains are recorded; None before the first.
+        self.recorded_drains_version = None
+        # (WeightTable.generation, group versions) for which nothing is left to send.
+        self.up_to_date_version = None
 
     def handle(self, now, event):
-        """Handles one event; returns the actions."""
+        """Handles one session event at `now`; returns the actions, in the order of their execution."""
         actions = []
         if self.closed and not isinstance(event, ConnectionLost):
             return actions
@@ -139,11 +144,13 @@
                 self.registry.leases.renew(now, self.follower.name, self.connection)
 
     def write(self, data, actions):
+        """Adds a WriteBytes action and counts its bytes."""
         self.written += len(data)
         actions.append(WriteBytes(data))
 
     def close(self, now, why, actions, failed=False):
-        """Closes the connection. failed: the client did not confirm a drain in time."""
+        """Logs why, gives up the lease and closes the connection. failed: the client did not confirm a drain
+        in time."""
         actions.append(
             log_line(
                 "follower_closed" if self.follower else "stranger_closed",
@@ -159,7 +166,7 @@
     # The lease
 
     def acquire_lease(self, now, follower, actions):
-        """Acquires the follower's lease; returns the previous holder, or None.
+        """Acquires the follower's lease; returns the number of the connection that held it before, or None.
 
         The caller has checked `leases.refusal_reason` before."""
         previous, events = self.registry.leases.acquire(now, follower.name, self.connection)
@@ -176,7 +183,7 @@
         return previous
 
     def release_lease(self, now, why, failed, actions):
-        """Gives up the lease and the groups."""
+        """Gives up the lease, if the session holds it, and the groups. failed: as in close."""
         if self.follower is None:
             return
         events = self.registry.leases.release(now, self.follower.name, self.connection, failed)
@@ -201,7 +208,8 @@
     def group_weights(self, table, group, last_sent):
         """Returns one group's weights, which must not be modified.
 
-        Followers with the same members of the same table share them."""
+        Followers with the same members of the same table share them, except without a table, when the weights
+        depend on those sent last."""
         admitted = self.is_admitted(table, group)
         if group.member_set.version != group.version:
             number = self.registry.member_set_number(group.members)
@@ -214,7 +222,7 @@
         return table.cache[cache_key]
 
     def is_admitted(self, table, group):
-        """Returns whether the Brain admits any calls of the group's route."""
+        """Returns whether the Brain admits any calls of the group's route; true if it ordered no level."""
         level = table.levels.get(group.route.number)
         return level is None or level.admitted > 0
 
@@ -242,7 +250,8 @@
             self.delivery.cancel_drain(task)
 
     def check(self, now, actions):
-        """Checks the time limits, then sends what is due."""
+        """Closes the connection if a time limit or its lease is over; else records drains and sends what is
+        due."""
         if self.partial_message_since is not None and now >= self.partial_message_since + MESSAGE_TIMEOUT:
             failed = bool(self.delivery and self.delivery.drain_deadlines)
             return self.close(now, "half a message", actions, failed=failed)
@@ -301,7 +310,7 @@
         return tuple(group.version for group in self.groups.values())
 
     def set_timer(self, now, actions):
-        """Sets the timer to the next time limit."""
+        """Adds a SetTimer for the next time limit if it has changed, or with None if there is none now."""
         times = [] if self.partial_message_since is None else [self.partial_message_since + MESSAGE_TIMEOUT]
         if self.follower is None:
             times.append(self.deadline)
@@ -316,7 +325,7 @@
         times += self.extra_timers(now)
         at = min(times, default=None)
         if at is not None:
-            at = max(at, now + 1)
+            at = max(at, now + 1)  # the time limits up to `now` have just been checked
         if at != self.timer_at:
             self.timer_at = at
             actions.append(SetTimer(at))
--- a/garnetpaddle/advice/session_registry.py
+++ b/garnetpaddle/advice/session_registry.py
@@ -64,7 +64,8 @@
         return self.last_version
 
     def level(self, name, route):
-        """Returns the Brain's level of a GroupRoute: from the follower's table, else from the newest one."""
+        """Returns the Level that the Brain ordered for a GroupRoute, in the follower's table or else in the
+        newest one. name: the follower's."""
         tables = self.snapshot.tables
         table = self.snapshot.table(self.proxy_number(name)) or (tables[max(tables)] if tables else None)
         return table.level(route.number) if table else Level(1.0, "none")
@@ -74,5 +75,5 @@
         return self.leases.by_name[name].proxy_number
 
     def weight_table(self, name):
-        """Returns the WeightTable to which a follower is bound."""
+        """Returns the WeightTable of the follower with this name; its number is 0 if it has no table."""
         return self.weight_tables.table_for(self.snapshot, self.proxy_number(name))
--- a/garnetpaddle/advice/update_delivery.py
+++ b/garnetpaddle/advice/update_delivery.py
@@ -18,7 +18,8 @@
 class Unconfirmed(NamedTuple):
     """An update that was written and is not yet confirmed.
 
-    end_offset: its end in the output stream, in bytes; mark: the Brain's newest mark that it includes."""
+    end_offset: its end in the output stream, in bytes; mark: the Brain's newest mark that it includes;
+    drained: the tasks whose drain it reports."""
 
     end_offset: int
     mark: int
@@ -49,7 +50,7 @@
         self.drain_deadlines.setdefault(task, since + self.allowance)
 
     def cancel_drain(self, task):
-        """Drops the deadline of a task that is ready again."""
+        """Removes the deadline of a task that is ready again."""
         self.drain_deadlines.pop(task, None)
 
     def unsent_drains(self, not_ready_since):
@@ -104,7 +105,7 @@
         return ""
 
     def next_deadline(self, update_pending):
-        """Returns when to check again, or None. update_pending: there is an update to send."""
+        """Returns the time of the next check, or None. update_pending: there is an update to send."""
         times = list(self.drain_deadlines.values())
         if self.end_offset > self.acked:
             times.append(self.sent_at + READ_TIMEOUT)
--- a/garnetpaddle/advice/weight_table.py
+++ b/garnetpaddle/advice/weight_table.py
@@ -33,6 +33,7 @@
         return self.task if self.task in table.tasks else table.tasks_by_address.get(self.address, self.task)
 
 
+# Weights of members that get no calls: draining; gone or unknown; ready but without a usable line.
 DRAINING = MemberWeight(0, True, True)
 UNKNOWN = MemberWeight(0, False, True, False)
 UNUSED = MemberWeight(0, True, False)
@@ -52,9 +53,10 @@
     not_ready_since: Mapping[str, int]  # task -> time since which it has been draining or gone
     levels: Mapping = field(default_factory=dict)  # route number -> snapshots.Level
     warm: Mapping[str, bool] = field(default_factory=dict)  # task -> whether its ramp-up is over
-    cache: dict = field(default_factory=dict, compare=False)  # results shared by sessions; see AdviceSession
+    cache: dict = field(default_factory=dict, compare=False)  # shared by sessions; see AdviceSession
 
     def weight_of(self, task):
+        """Returns the MemberWeight of a task; UNKNOWN for one that is not in the table."""
         return self.weights.get(task, UNKNOWN)
 
 
@@ -97,14 +99,15 @@
         if cached and cached.is_current(snapshot, table):
             return cached.result
         result = self.compute(snapshot, proxy, table)
-        self.cached = {n: x for n, x in self.cached.items() if n in snapshot.tables or not n}
+        # Forgets tables that no longer exist; number 0 stands for no table.
+        self.cached = {n: entry for n, entry in self.cached.items() if n in snapshot.tables or not n}
         self.cached[number] = CachedTable(
             table, snapshot.tasks, snapshot.withdrawn, snapshot.weights_changed, result
         )
         return result
 
     def compute(self, snapshot, proxy, table):
-        """Computes a WeightTable from a snapshot."""
+        """Computes the WeightTable of a proxy. table: its snapshots.Table, or None."""
         tasks, lines = snapshot.tasks, snapshot.usable_weights(proxy) or {}
         warm = {
             k: snapshot.at >= t.started_at + self.warm_after or not t.started_at for k, t in tasks.items()
--- a/garnetpaddle/commands/advice.py
+++ b/garnetpaddle/commands/advice.py
@@ -26,7 +26,9 @@
 
 
 async def listed_addresses(agent):
-    """Asks a discovery agent for its task list; returns (host, port) of each task. Raises UsageError."""
+    """Asks a discovery agent for its task list; returns (host, port) of each task.
+
+    agent: its (host, port). Raises UsageError if there is no readable answer."""
     import msgspec
 
     from garnetpaddle.net import http
@@ -51,7 +53,7 @@
 
 
 def flags(weight):
-    """The flags of a weight, as text."""
+    """Returns the flags of a client.Weight as text."""
     return " ".join(
         flag
         for flag, is_set in (
@@ -64,7 +66,7 @@
 
 
 def update_as_dict(update):
-    """An update as JSON-compatible values. part: a member's fraction of all weights."""
+    """Returns a client.Update as JSON-compatible values. part: a member's fraction of all weights."""
     total = sum(w.weight for w in update.weights) or 1
     return {
         "group": update.group,
@@ -85,7 +87,9 @@
 
 
 def render_table(update, received_at, log):
-    """An update as a table, with the last line of the client's log."""
+    """Returns a client.Update as a rich table, captioned with the last line of the client's log.
+
+    received_at: time.monotonic() when the update arrived."""
     from rich.table import Table
 
     age = time.monotonic() - received_at
@@ -102,7 +106,7 @@
 
 
 async def follow(client, as_json, count):
-    """Shows `count` updates, or without end if it is 0."""
+    """Shows `count` updates, or without end if it is 0; returns the exit code."""
     count_shown = 0
     if as_json:
         async for update in client.updates():
--- a/garnetpaddle/commands/serve.py
+++ b/garnetpaddle/commands/serve.py
@@ -22,7 +22,9 @@
 
 
 def read_files(path, operator_path, environment):
-    """Reads and validates the files. Returns ServeFiles, or an exit code after printing the errors."""
+    """Reads and validates the files. Returns ServeFiles, or an exit code (an int) after printing the errors.
+
+    environment: the environment variables, which must agree with the configuration if they are set."""
     from garnetpaddle.net import configuration
 
     try:
--- a/garnetpaddle/front_ends/connection.py
+++ b/garnetpaddle/front_ends/connection.py
@@ -10,8 +10,12 @@
 
 
 class Connection:
-    """number: unique in its manager; written: bytes written to the client so far; acked: how many of them its
-    TCP stack had acknowledged when last checked."""
+    """The state of one client's connection; ConnectionManager maintains it.
+
+    number: unique in its manager; written: bytes written to the client so far; acked: how many of them its
+    TCP stack had acknowledged when last checked; session_timer_at: when the session's timer is due, or None;
+    input_queued_since: when the chunk now queued was read, or None; input_processed: set once that chunk is
+    processed. Times are in tenths of a ms."""
 
     def __init__(self, number, reader, writer, session, decoder, now):
         self.number, self.reader, self.writer = number, reader, writer
@@ -26,6 +30,7 @@
         transport = self.writer.transport
         if transport.is_closing() or self.sock.fileno() < 0:
             return self.acked
+        # TIOCOUTQ: bytes in the kernel's send queue, those sent but not yet acknowledged included.
         in_flight = struct.unpack("i", fcntl.ioctl(self.sock.fileno(), termios.TIOCOUTQ, bytes(4)))[0]
         return self.written - self.unsent() - in_flight
 
--- a/garnetpaddle/front_ends/front_ends.py
+++ b/garnetpaddle/front_ends/front_ends.py
@@ -24,15 +24,15 @@
 
 
 def build_session_registry(configuration, settings, parameters, started_at):
-    """Builds the sessions' registry from the operator's and the platform's configuration.
+    """Returns the SessionRegistry for the operator's and the platform's configuration.
 
-    configuration: operator.OperatorConfiguration; settings: boot.Settings; parameters:
-    interface.Parameters."""
-    routes = {c.name: k for k, c in enumerate(settings.categories)}
+    configuration: operator.OperatorConfiguration; settings: boot.Settings; parameters: interface.Parameters;
+    started_at: in tenths of a ms."""
+    routes = {route.name: number for number, route in enumerate(settings.categories)}
     groups = {}
     for group in configuration.groups:
-        route = routes[group.route]
-        groups[group.name] = GroupRoute(route, EFFECTS.get(settings.categories[route].effect, "mutating"))
+        number = routes[group.route]
+        groups[group.name] = GroupRoute(number, EFFECTS.get(settings.categories[number].effect, "mutating"))
     followers = {
         lb_uid(f): Follower(f.name, tuple(f.groups), f.retries, f.takes) for f in configuration.followers
     }
@@ -62,6 +62,7 @@
         self.manager = ConnectionManager(
             self.publisher, now, publish, limits.connections, limits.unread_kib << BYTES_PER_KIB_SHIFT
         )
+        # addresses: front end's name -> bound (host, port); failed: a snapshot could not be published.
         self.addresses, self.failed = {}, False
 
     def publish_snapshot(self, now, events, orders):
@@ -83,8 +84,9 @@
 
     @staticmethod
     def platform_orders(reply):
-        """Returns the orders of a reply that go to the platform's relay; none if only acknowledgement
-        requests would be left."""
+        """Returns the orders of a reply that go to the platform's relay: all but the binds of followers.
+
+        Returns none if binds were left out and only acknowledgement requests remain."""
         kept = [
             o for o in reply if not (isinstance(o, gp.BindProxy) and o.proxy >= FIRST_FOLLOWER_PROXY_NUMBER)
         ]
@@ -101,13 +103,13 @@
             self.addresses[front.name] = await self.listen(front, self.dfp_sessions(front, max_message))
 
     async def listen(self, front, create_session):
-        """Opens one listener; returns its address."""
+        """Opens one listener; returns its bound (host, port). front: operator.Sasp or operator.Dfp."""
         try:
-            at = await self.manager.open(split_address(front.listen), create_session)
+            bound_address = await self.manager.open(split_address(front.listen), create_session)
         except OSError as error:
             raise OSError(error.errno, f"{front.name}, {front.listen}: {error.strerror or error}") from None
-        log.info("front_open", front=front.name, listen=f"{at[0]}:{at[1]}")
-        return at
+        log.info("front_open", front=front.name, listen=f"{bound_address[0]}:{bound_address[1]}")
+        return bound_address
 
     def sasp_sessions(self, front, max_message):
         """Returns a function that creates a SASP session; see ConnectionManager.open."""
--- a/garnetpaddle/front_ends/timer_queue.py
+++ b/garnetpaddle/front_ends/timer_queue.py
@@ -8,7 +8,10 @@
 
 
 class Timer(NamedTuple):
-    """sequence: keeps timers with the same time in the order in which they were set."""
+    """A timer of one connection.
+
+    at: in tenths of a ms; sequence: keeps timers with the same time in the order in which they were set;
+    connection: its number; kind: passed through, see connection_manager."""
 
     at: int
     sequence: int
@@ -40,7 +43,8 @@
         self.loop_timer = asyncio.get_running_loop().call_later(wait, self.run_due)
 
     def run_due(self):
-        """Handles every timer that is due."""
+        """Calls `expired` for every timer that is due, then schedules the next one, unless a timer added
+        meanwhile has done so."""
         self.loop_timer, now = None, self.now()
         while self.timers and self.timers[0].at <= now:
             self.expired(heapq.heappop(self.timers), now)
--- a/garnetpaddle/operator/block_decoder.py
+++ b/garnetpaddle/operator/block_decoder.py
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Diagnostic:
-    """One mistake in a file, with its position."""
+    """One mistake in a file. line: its position, from 1; field: with its block, such as "dfp.a.listen"."""
 
     file: str
     line: int
@@ -30,13 +30,15 @@
 
 
 def block_title(block):
-    """A block's kind and labels, as diagnostics name it."""
+    """Returns a block's kind and labels, as diagnostics name it."""
     return ".".join((block.kind, *block.labels))
 
 
 def decode_attributes(path, block, kind, diagnostics):
     """Decodes a block's attributes as the fields of a msgspec struct, except `name`, which comes from the
-    label. Adds a Diagnostic for each that is missing, unknown or of another type."""
+    label; returns field -> value.
+
+    kind: the struct. Adds to `diagnostics` one for each field that is missing, unknown or invalid."""
     values, attributes = {}, dict(block.attributes)
     types = inspect.get_annotations(kind, eval_str=True)
     for field in msgspec.structs.fields(kind):
--- a/garnetpaddle/operator/hcl.py
+++ b/garnetpaddle/operator/hcl.py
@@ -28,7 +28,7 @@
 
 
 def blocks(text):
-    """The blocks of a file, in order; raises InvalidHclError."""
+    """Returns the Blocks of a file's text, in order; raises InvalidHclError."""
     try:
         tree = hcl2.parses_to_tree(text if text.endswith("\n") else text + "\n")
     except UnexpectedInput as error:
@@ -62,7 +62,7 @@
 
 
 def identifier(node):
-    """The identifier of a block or attribute."""
+    """Returns the identifier of a block or attribute node."""
     return next(
         str(t)
         for child in node.children
--- a/garnetpaddle/snapshots/snapshot.py
+++ b/garnetpaddle/snapshots/snapshot.py
@@ -6,7 +6,7 @@
 
 
 def empty_mapping():
-    """An empty immutable mapping."""
+    """Returns an empty immutable mapping."""
     return MappingProxyType({})
 
 
@@ -26,13 +26,16 @@
     address: tuple[str, int] | None = None
 
     def is_not_ready(self):
-        """Whether no new calls may be sent to it: it drains or is gone."""
+        """Returns whether no new calls may be sent to it: it drains or is gone."""
         return self.state != "ready"
 
 
 @dataclass(frozen=True, slots=True)
 class Level:
-    """admitted: how much of a route; retry_mode: when calls are retried, "none", "on proof" or "once"."""
+    """The Brain's admission order for a route.
+
+    admitted: how much is let in, in the unit of interface.SetAdmission.level, 0 for nothing; retry_mode: when
+    calls are retried: "none", "on proof" (that the call was not executed) or "once"."""
 
     admitted: float
     retry_mode: str
@@ -49,7 +52,7 @@
     levels: Mapping[int, Level] = field(default_factory=empty_mapping)  # by the route's number
 
     def level(self, route):
-        """The level of a route; everything is admitted, without retries, if none was ordered."""
+        """Returns the level of a route; everything is admitted, without retries, if none was ordered."""
         return self.levels.get(route, Level(1.0, "none"))
 
 
@@ -71,11 +74,11 @@
     )  # task -> since when it drains or is gone
 
     def table(self, proxy):
-        """The table that a proxy is bound to; None if it is unbound, or the table never had a line."""
+        """Returns the table that a proxy is bound to; None if it is unbound or the table never had a line."""
         return self.tables.get(self.table_by_proxy.get(proxy))
 
     def usable_weights(self, proxy):
-        """The weights of the tasks that a proxy may call: task -> weight; None if it has no table."""
+        """Returns task -> weight of the tasks that a proxy may call; None if it has no table."""
         table = self.table(proxy)
         if table is None:
             return None
