--- a/garnetpaddle/client/asyncio_client.py
+++ b/garnetpaddle/client/asyncio_client.py
@@ -29,15 +29,18 @@
 
 
 class Client:
-    """Runs inside `async with`, and reconnects automatically.
+    """Base class of the clients: runs a state machine inside `async with`, and reconnects automatically.
 
     A network error ends the connection; the last advice stays in force. updates() yields the newest Update
-    of each group, so a slow reader misses those in between. log: the last 100 events, as text."""
+    of each group, so a slow reader misses those in between. address: (host, port) of the manager, or in DFP
+    of the agent; decoder: called without arguments for the message decoder of each connection; log: the last
+    100 events, as text."""
 
     def __init__(
         self, address: tuple[str, int], state_machine: SaspBalancer | DfpManager, decoder: Callable
     ) -> None:
         self.address, self.state_machine, self.make_decoder = address, state_machine, decoder
+        # pending_updates: group -> newest Update not yet yielded; writer: None while there is no connection.
         self.pending_updates, self.update_available, self.timer = {}, asyncio.Event(), None
         self.connect_requested = asyncio.Event()
         self.writer = self.run_task = None
@@ -93,7 +96,7 @@
                     self.connect_requested.set()
 
     def set_timer(self, at):
-        """Replaces the timer."""
+        """Replaces the timer. at: in tenths of a ms on clock()."""
         if self.timer:
             self.timer.cancel()
         wait = max(0.0, (at - clock()) / TENTHS_OF_MS_PER_SECOND)
@@ -132,14 +135,15 @@
 
 
 class SaspClient(Client):
-    """A load balancer that follows a group workload manager, RFC 4678.
+    """A load balancer that follows a group workload manager over SASP, RFC 4678.
 
         async with SaspClient(("127.0.0.1", 3860), "LB-1", {"status": [("10.0.0.5", 5000)]}) as client:
             async for update in client.updates():
                 set_weights(update.group, update.weights)
 
     groups: name -> (host, port) or (host, port, label) of each member, with IP addresses as hosts; raises
-    ValueError for other hosts. push, no_change, trust, answers: as in SaspBalancer."""
+    ValueError for other hosts. uid: its LB UID, by which the manager knows it; uniform: (low, high) -> random
+    float; push, no_change, trust, answers: as in SaspBalancer."""
 
     def __init__(
         self,
@@ -178,7 +182,9 @@
 
 
 class DfpClient(Client):
-    """A manager that follows an agent's advice, draft-eck-dfp. key: garnetpaddle.dfp.codec.Key or None."""
+    """A manager that follows an agent's advice over DFP, draft-eck-dfp.
+
+    name, keep_alive (s), uniform: as in DfpManager; key: garnetpaddle.dfp.codec.Key or None."""
 
     def __init__(
         self,
--- a/garnetpaddle/commands/line.py
+++ b/garnetpaddle/commands/line.py
@@ -79,7 +79,10 @@
 
 
 def main(arguments, startup_signals=None):
-    """Runs a command; returns its exit code. startup_signals: passed by `serve` to its event loop."""
+    """Runs a command; returns its exit code. startup_signals: passed by `serve` to its event loop.
+
+    With standalone_mode=False, click returns the command's return value and raises its errors, instead of
+    ending the process."""
     try:
         code = commands.main(
             list(arguments), prog_name="garnetpaddle", standalone_mode=False, obj=startup_signals
--- a/garnetpaddle/commands/rehearse.py
+++ b/garnetpaddle/commands/rehearse.py
@@ -12,7 +12,7 @@
 
 
 def read_script(path):
-    """Reads a Script; if it is invalid, prints its diagnostics and exits with 2."""
+    """Returns the rehearsal.Script of a file; if it is invalid, prints its diagnostics and exits with 2."""
     from garnetpaddle.operator import InvalidFileError
     from garnetpaddle.rehearsal import read
 
@@ -25,8 +25,9 @@
 
 
 def simulate(path, seed, policy, log=None):
-    """Runs one simulation in a worker process; returns its result as a dict and as JSON. log: path for its
-    event log."""
+    """Runs one simulation, in a worker process; returns its result as a dict and as JSON.
+
+    log: path of the event log to write, or None."""
     from garnetpaddle.rehearsal import Simulation, read
     from garnetpaddle.rehearsal.events import Writer
 
@@ -201,7 +202,7 @@
 
 
 def with_progress_bar(runs):
-    """Iterates over the items, with a progress bar if standard error is a terminal."""
+    """Returns an iterator over the items of `runs`, with a progress bar if standard error is a terminal."""
     from rich.console import Console
     from rich.progress import track
 
@@ -217,7 +218,7 @@
 
 
 def format_figures(figures):
-    """A result's figures as a line of text."""
+    """Returns a result's figures as a line of text."""
     return (
         f"{figures['policy']:6} seed {figures['seed']}: service {figures['service']:.4f}, worst 10 s "
         f"{figures['worst_window']:.4f}, worst route {figures['worst_route']:.4f}, 99th "
--- a/garnetpaddle/operator/configuration.py
+++ b/garnetpaddle/operator/configuration.py
@@ -67,7 +67,7 @@
 
 
 class OperatorConfiguration(msgspec.Struct, frozen=True):
-    """The whole file."""
+    """The whole file, decoded and validated by read()."""
 
     path: str
     limits: Limits = Limits()
--- a/garnetpaddle/operator/hcl.py
+++ b/garnetpaddle/operator/hcl.py
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Block:
-    """One block. attributes: name -> (value, line); line: where the block begins."""
+    """One block. kind: its type; attributes: name -> (value, line number); line: where it begins."""
 
     kind: str
     labels: tuple[str, ...]
--- a/garnetpaddle/snapshots/publisher.py
+++ b/garnetpaddle/snapshots/publisher.py
@@ -1,4 +1,4 @@
-"""Publication of snapshots: one future wakes all waiting followers."""
+"""Publication of snapshots: one future wakes all waiters."""
 
 import asyncio
 
@@ -6,7 +6,9 @@
 
 
 class SnapshotPublisher:
-    """Not thread-safe: only the decision loop's asyncio task publishes, on the event loop's thread."""
+    """Holds the newest snapshot and wakes those that wait for a newer one.
+
+    Not thread-safe: only the decision loop's asyncio task publishes, on the event loop's thread."""
 
     def __init__(self):
         self.snapshot, self.next_publication = EMPTY_SNAPSHOT, None
