--- a/garnetpaddle/advice/session.py
+++ b/garnetpaddle/advice/session.py
@@ -310,7 +310,9 @@
         return tuple(group.version for group in self.groups.values())
 
     def set_timer(self, now, actions):
-        """Adds a SetTimer for the next time limit if it has changed, or with None if there is none now."""
+        """Adds a SetTimer for the next check if its time has changed, or with None if none is needed now.
+
+        The check may be for a time limit, the next update or a timer of the protocol's session."""
         times = [] if self.partial_message_since is None else [self.partial_message_since + MESSAGE_TIMEOUT]
         if self.follower is None:
             times.append(self.deadline)
@@ -325,7 +327,7 @@
         times += self.extra_timers(now)
         at = min(times, default=None)
         if at is not None:
-            at = max(at, now + 1)  # the time limits up to `now` have just been checked
+            at = max(at, now + 1)  # everything due up to `now` has just been checked
         if at != self.timer_at:
             self.timer_at = at
             actions.append(SetTimer(at))
--- a/garnetpaddle/boot/settings.py
+++ b/garnetpaddle/boot/settings.py
@@ -74,7 +74,10 @@
 
 
 def derive_parameters(settings):
-    """The Brain's parameters (interface.Parameters); raises UnknownValueError for an unsupported setting."""
+    """Returns the Brain's parameters (interface.Parameters); raises UnknownValueError if `ranges` is set.
+
+    An unknown base_mode is not refused, but becomes "": the retry mode is not known."""
+    # channel: all of `specifics`, which also covers reports and proxies
     channel, contract = settings.specifics, settings.contract
     if channel.ranges:
         # Ranges (slices) are not supported: no deployment has them yet.
--- a/garnetpaddle/brain.py
+++ b/garnetpaddle/brain.py
@@ -155,7 +155,8 @@
         self.withdrawn = {}  # task -> when its withdrawal was ordered, False where that order is in doubt
         self.log_messages = []
         self.pending_reports = []
-        self.counted_until = {}  # (task, zone) -> the end of the time that its reports have covered
+        # (task, zone) -> the estimated end of the time that its last reports covered; see record_covered_time
+        self.counted_until = {}
         self.timers = [(0, 0, Brain.subscribe, None)] * (parameters.list_mode == "ask")
         self.timer_serial = 0
         # Channel costs in lines. queue: what still waits in the channel, estimated from what is not
@@ -176,8 +177,9 @@
         # queue_updated_at: when the queue's estimate was last reduced by time; in_order_from: from when on
         # the order of messages is reliable; rebalanced_at: the last move of tasks from one table to another
         self.queue_updated_at = self.in_order_from = self.rebalanced_at = 0
-        # report_delay: from the time that the last reports covered to their evaluation; queue_progress_at:
-        # the last acknowledgement, or the first message into an empty queue if that is later
+        # report_delay: from the estimated end of the time that the last reports covered to their evaluation;
+        # queue_progress_at: the last acknowledgement, or the first message into an empty queue if that is
+        # later
         self.next_tick_at = self.subscribe_failures = self.first_pending_report_at = self.first_join_at = (
             self.report_delay
         ) = self.queue_progress_at = 0
@@ -416,12 +418,13 @@
             self.pending_reports.append(event)
 
     def record_covered_time(self, now):
-        """Returns the time up to which the pending reports have counted; records it as the start of the next
-        ones, and its delay.
+        """Estimates when the time that the pending reports cover ended, and returns that time.
 
-        The spans of a (task, zone) pair add up; the median of all pairs excludes those with idle periods or
-        lost reports. The first reports start where the first proxy joined; if only other pairs were counted
-        before, the reports are taken to be as late as the last ones.
+        Reports carry a span, but no time. The estimate is the median of recorded end + span over the reports
+        of (task, zone) pairs with a recorded end, and at most now. The median limits the effect of pairs that
+        end too early, after an idle period, a lost report or a later start. The first reports start when the
+        first proxy joined. If no pair has a recorded end, the reports are taken to be as late as the last
+        ones. The estimate is recorded as the end for every reporting pair, and now minus it as report_delay.
         """
         starts = self.counted_until or {(e.task, e.zone): self.first_join_at for e in self.pending_reports}
         ends = [starts[e.task, e.zone] + e.span for e in self.pending_reports if (e.task, e.zone) in starts]
--- a/garnetpaddle/client/protocol_events.py
+++ b/garnetpaddle/client/protocol_events.py
@@ -96,7 +96,10 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestRefused:
-    """The manager refused a request, which is retried later on the same connection."""
+    """The manager refused a request.
+
+    After "register" or "weights", the state machine registers again on the same connection, with backoff;
+    any other refused request is only reported."""
 
     request: str
     code: int
--- a/garnetpaddle/client/sasp_balancer.py
+++ b/garnetpaddle/client/sasp_balancer.py
@@ -194,7 +194,7 @@
                 actions.append(Disconnect("unreadable"))
 
     def handle_refusal(self, now, request, code, actions):
-        """Reports a refused request; after a refused registration or poll, registers again with backoff."""
+        """Reports a refusal; for a registration or poll, schedules registering again after a backoff."""
         actions.append(RequestRefused(request, code))
         if request in ("register", "weights"):
             wait = backoff(MIN_REFUSAL_WAIT, MAX_REFUSAL_WAIT, self.refusals, self.uniform)
--- a/garnetpaddle/dfp/session.py
+++ b/garnetpaddle/dfp/session.py
@@ -50,7 +50,9 @@
                 actions.append(log_line("manager_state", follower=name, held_out=held_out))
 
     def check(self, now, actions):
-        """Acquires the lease when possible, then checks and sends as every session does."""
+        """Acquires the lease when possible and refreshes the members, then checks as every session does.
+
+        Then sends a keep-alive to a follower if nothing was written for half of the keep-alive time."""
         if self.follower is None and not self.closed:
             self.try_acquire_lease(now, actions)
         if self.follower is None and not self.closed:
@@ -62,7 +64,7 @@
         if any(isinstance(action, WriteBytes) for action in actions):
             self.last_write_at = now
         if self.follower and self.keep_alive and now >= self.next_keep_alive_at():
-            # Nothing has changed: an empty message serves as keep-alive.
+            # An empty Preference serves as keep-alive; changes may still be waiting for their update.
             self.write(codec.encode(codec.Preference(), self.key), actions)
             self.last_write_at = now
 
--- a/garnetpaddle/net/order_sender.py
+++ b/garnetpaddle/net/order_sender.py
@@ -43,7 +43,7 @@
                 await self.send_batch(self.queue.popleft())
 
     async def send_batch(self, orders):
-        """Sends one batch; after an unexpected error it is reported as in doubt."""
+        """Sends one batch; after an unexpected error, reports the whole batch as lost and in doubt."""
         try:
             await self.send_requests(order_codec.split_into_requests(orders, self.routes, self.marks))
         except Exception:
