--- a/benchmarks/advice.py
+++ b/benchmarks/advice.py
@@ -568,10 +568,17 @@
         name = GroupName(b"lb0000", GROUP_NAME)
         entries = [(MemberData.from_address(*at), 0) for at in member_addresses(size).values()]
         entry_bytes = b"".join(
-            codec.entry(codec.member(member), 0, 0, weight, False) for member, weight in entries
+            codec.encode_weight_entry(codec.encode_member(member), 0, 0, weight, False)
+            for member, weight in entries
         )
-        data = codec.send_weights(
-            1, [codec.group_component(codec.Part.WEIGHTS_OF_GROUP, name, size, entry_bytes, False)], False
+        data = codec.encode_send_weights(
+            1,
+            [
+                codec.encode_group_component(
+                    codec.ComponentType.WEIGHTS_OF_GROUP, name, size, entry_bytes, False
+                )
+            ],
+            False,
         )
         for count in map(int, clients.split(",")):
             fronts, baseline = (
